--- a/front/src/main/java/org/magnoliaswitch/front/FrontProcess.java
+++ b/front/src/main/java/org/magnoliaswitch/front/FrontProcess.java
@@ -16,12 +16,12 @@
 import org.magnoliaswitch.front.process.FrontSettings;
 import org.magnoliaswitch.front.process.InstanceCount;
 import org.magnoliaswitch.front.process.KnownState;
-import org.magnoliaswitch.front.process.News;
-import org.magnoliaswitch.front.process.NewsSource;
 import org.magnoliaswitch.front.process.RouteState;
 import org.magnoliaswitch.front.process.SendQuotas;
 import org.magnoliaswitch.front.process.ServerDirectory;
 import org.magnoliaswitch.front.process.ServerNotices;
+import org.magnoliaswitch.front.process.StateSource;
+import org.magnoliaswitch.front.process.StateSync;
 import org.magnoliaswitch.front.request.FrontDispatcher;
 import org.magnoliaswitch.front.version.HeaderNames;
 import org.magnoliaswitch.front.version.RouteTable;
@@ -43,7 +43,7 @@
    *
    * @param source makes the source of configuration and discovery
    */
-  public static Front start(FrontSettings settings, HeaderNames names, NewsSource.Factory source) {
+  public static Front start(FrontSettings settings, HeaderNames names, StateSource.Factory source) {
     Clocks clocks = Clocks.system();
     EventLog log = new EventLog(clocks);
     FrontMetrics metrics = new FrontMetrics();
@@ -76,8 +76,9 @@
             metrics,
             crashes);
     KnownState knownState = new KnownState(routes, servers, requests, log);
-    News news = new News(environment, knownState, control, source.create(control, log, metrics));
-    news.start();
+    StateSync stateSync =
+        new StateSync(environment, knownState, control, source.create(control, log, metrics));
+    stateSync.start();
     Front front = new Front(environment, knownState, FrontDispatcher::new);
     front.start();
     return front;
--- a/front/src/main/java/org/magnoliaswitch/front/process/CrashArchive.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/CrashArchive.java
@@ -101,14 +101,14 @@
     }
   }
 
-  private void read(NewsSource.Read<List<CrashStore.Kept>> read) {
+  private void read(StateSource.Read<List<CrashStore.Kept>> read) {
     reading = false;
     switch (read) {
-      case NewsSource.Read.Known<List<CrashStore.Kept>> known -> take(known.value());
-      case NewsSource.Read.Unchanged<List<CrashStore.Kept>> unchanged -> {
+      case StateSource.Read.Known<List<CrashStore.Kept>> known -> take(known.value());
+      case StateSource.Read.Unchanged<List<CrashStore.Kept>> unchanged -> {
         // Nothing to take.
       }
-      case NewsSource.Read.Failed<List<CrashStore.Kept>> failed ->
+      case StateSource.Read.Failed<List<CrashStore.Kept>> failed ->
           metrics.count("crash.store.calls", "", failed.reason());
     }
   }
--- a/front/src/main/java/org/magnoliaswitch/front/process/CrashStore.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/CrashStore.java
@@ -14,8 +14,8 @@
   CrashStore NONE =
       new CrashStore() {
         @Override
-        public void read(Consumer<NewsSource.Read<List<Kept>>> listener) {
-          listener.accept(new NewsSource.Read.Unchanged<>());
+        public void read(Consumer<StateSource.Read<List<Kept>>> listener) {
+          listener.accept(new StateSource.Read.Unchanged<>());
         }
 
         @Override
@@ -35,7 +35,7 @@
   record Kept(CrashReport.Ended ended, long epochMillis) {}
 
   /** Reads all that is kept. */
-  void read(Consumer<NewsSource.Read<List<Kept>>> listener);
+  void read(Consumer<StateSource.Read<List<Kept>>> listener);
 
   /**
    * Adds and removes ends; the listener is told whether the store confirmed it. What was not
--- a/front/src/main/java/org/magnoliaswitch/front/process/ReadingPlan.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/PollingSchedule.java
@@ -16,7 +16,7 @@
  * @param firstStart whether the whole system starts for the first time, all instances together
  * @param jitterMillis this instance's part of the spread of those that are no seeds
  */
-public record ReadingPlan(int rank, boolean firstStart, long jitterMillis) {
+public record PollingSchedule(int rank, boolean firstStart, long jitterMillis) {
   /** Spread over which instances that are no seeds lose patience. */
   public static final int JITTER_SPAN_MILLIS = 300;
 
@@ -33,10 +33,10 @@
   private static final long PATIENT_RETRY_MILLIS = 2_500;
 
   /** The plan of an instance. */
-  public static ReadingPlan of(
+  public static PollingSchedule of(
       InetSocketAddress self, List<InetSocketAddress> seeds, boolean firstStart, long jitter) {
     int index = seeds.indexOf(self);
-    return new ReadingPlan(index < 0 ? Integer.MAX_VALUE : index, firstStart, jitter);
+    return new PollingSchedule(index < 0 ? Integer.MAX_VALUE : index, firstStart, jitter);
   }
 
   /** Whether this instance waits for changes of the configuration at the platform. */
--- a/front/src/main/java/org/magnoliaswitch/front/process/NewsReader.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StatePoller.java
@@ -14,14 +14,14 @@
 
 /**
  * Keeps what this instance believes fresh: from peers, and by reading the platform when the {@link
- * ReadingPlan} says so. Runs on the control loop.
+ * PollingSchedule} says so. Runs on the control loop.
  *
  * <p>What operators declared and the servers are read apart and have ages of their own; an instance
  * is as fresh as the older of the two. One instance waits for changes of what operators declared. A
  * wait can go deaf while servers are still read, so it is short, and the age that only its answers
  * renew makes another instance read.
  */
-public final class NewsReader {
+public final class StatePoller {
   /** Spread of the wait after a failed read: instances must not ask a returning store together. */
   private static final long RETRY_SPAN_MILLIS = 300;
 
@@ -30,9 +30,9 @@
   /** Smallest time between two looks at the plan. */
   private static final long MIN_CHECK_MILLIS = 20;
 
-  private final NewsSource source;
+  private final StateSource source;
   private final KnownState knownState;
-  private final ReadingPlan plan;
+  private final PollingSchedule plan;
   private final Loop loop;
   private final Environment environment;
   private final Clocks clocks;
@@ -66,10 +66,10 @@
    * @param hearsPeers whether other instances tell their news
    * @param archive is read whenever the platform is
    */
-  public NewsReader(
-      NewsSource source,
+  public StatePoller(
+      StateSource source,
       KnownState knownState,
-      ReadingPlan plan,
+      PollingSchedule plan,
       Loop loop,
       Environment environment,
       Listener listener,
@@ -191,8 +191,8 @@
     }
   }
 
-  private void operatorStateRead(NewsSource.Read<OperatorState> read, long asOf) {
-    if (read instanceof NewsSource.Read.Failed<OperatorState> failed) {
+  private void operatorStateRead(StateSource.Read<OperatorState> read, long asOf) {
+    if (read instanceof StateSource.Read.Failed<OperatorState> failed) {
       failed("configuration", failed.reason(), asOf);
       return;
     }
@@ -208,15 +208,15 @@
 
   private void awaitChange() {
     long begun = clocks.nanos();
-    source.nextOperatorState(ReadingPlan.WAIT_MILLIS, read -> changeCame(read, begun));
+    source.nextOperatorState(PollingSchedule.WAIT_MILLIS, read -> changeCame(read, begun));
   }
 
-  private void changeCame(NewsSource.Read<OperatorState> read, long begunNanos) {
-    if (read instanceof NewsSource.Read.Failed<OperatorState> failed) {
+  private void changeCame(StateSource.Read<OperatorState> read, long begunNanos) {
+    if (read instanceof StateSource.Read.Failed<OperatorState> failed) {
       waitFailed(failed.reason(), begunNanos);
       return;
     }
-    long waitNanos = TimeUnit.MILLISECONDS.toNanos(ReadingPlan.WAIT_MILLIS);
+    long waitNanos = TimeUnit.MILLISECONDS.toNanos(PollingSchedule.WAIT_MILLIS);
     boolean waited = clocks.nanos() - begunNanos >= waitNanos;
     operatorState.confirmed(waited ? begunNanos + waitNanos : begunNanos);
     if (!take(read)) {
@@ -245,16 +245,16 @@
   }
 
   /** Puts in force what was read; returns whether it is newer than before. */
-  private boolean take(NewsSource.Read<OperatorState> read) {
-    return read instanceof NewsSource.Read.Known<OperatorState> known
+  private boolean take(StateSource.Read<OperatorState> read) {
+    return read instanceof StateSource.Read.Known<OperatorState> known
         && offer(known.value(), "store");
   }
 
-  private void serversRead(NewsSource.Read<ServerList> read, long asOf) {
+  private void serversRead(StateSource.Read<ServerList> read, long asOf) {
     reading = false;
     environment.metrics().count("platform.reads", "", "ended");
     switch (read) {
-      case NewsSource.Read.Known<ServerList> known -> {
+      case StateSource.Read.Known<ServerList> known -> {
         if (sourceLost) {
           log.belief("source_regained").add("version", knownState.routesVersion()).write();
           sourceLost = false;
@@ -266,11 +266,11 @@
         archive.read();
         check();
       }
-      case NewsSource.Read.Unchanged<ServerList> unchanged -> {
+      case StateSource.Read.Unchanged<ServerList> unchanged -> {
         servers.confirmed(asOf);
         check();
       }
-      case NewsSource.Read.Failed<ServerList> failed -> failed("servers", failed.reason(), asOf);
+      case StateSource.Read.Failed<ServerList> failed -> failed("servers", failed.reason(), asOf);
     }
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/process/NewsSource.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StateSource.java
@@ -6,7 +6,7 @@
 import org.magnoliaswitch.front.version.ServerList;
 
 /** Where configuration and discovery come from; callbacks run on the control event loop. */
-public interface NewsSource {
+public interface StateSource {
   /** Makes the source of a process. */
   interface Factory {
     /**
@@ -16,7 +16,7 @@
      * @param log where it tells what it leaves out
      * @param metrics where it counts that
      */
-    NewsSource create(Loop loop, EventLog log, FrontMetrics metrics);
+    StateSource create(Loop loop, EventLog log, FrontMetrics metrics);
   }
 
   /**
--- a/front/src/main/java/org/magnoliaswitch/front/process/News.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StateSync.java
@@ -22,7 +22,7 @@
 import org.magnoliaswitch.front.version.ServerList;
 
 /** Everything by which this instance learns and passes on configuration and discovery. */
-public final class News {
+public final class StateSync {
   /** Time between two looks for what may be forgotten; the shortest memory is a minute. */
   private static final long FORGET_MILLIS = 10_000;
 
@@ -43,7 +43,7 @@
   private final KnownState knownState;
   private final Loop loop;
   private final PeerHub hub;
-  private final NewsReader reader;
+  private final StatePoller reader;
   private final Map<InetSocketAddress, Integer> instancesByPeer = new HashMap<>();
   private final Map<InetSocketAddress, InstancePlace> placesBySeed = new HashMap<>();
   private final CrashArchive archive;
@@ -51,20 +51,21 @@
   private final List<CrashReport> toReport = new ArrayList<>();
   private final List<CrashReport> toTell = new ArrayList<>();
 
-  public News(Environment environment, KnownState knownState, Loop control, NewsSource source) {
+  public StateSync(
+      Environment environment, KnownState knownState, Loop control, StateSource source) {
     this.environment = environment;
     this.knownState = knownState;
     this.loop = control;
     FrontSettings settings = environment.settings();
-    ReadingPlan plan =
-        ReadingPlan.of(
+    PollingSchedule plan =
+        PollingSchedule.of(
             settings.peers(),
             settings.seeds(),
             settings.firstStart(),
-            environment.random().nextInt(ReadingPlan.JITTER_SPAN_MILLIS));
+            environment.random().nextInt(PollingSchedule.JITTER_SPAN_MILLIS));
     this.archive = new CrashArchive(source.crashes(), environment, control, this::hearsPeers);
     this.reader =
-        new NewsReader(
+        new StatePoller(
             source,
             knownState,
             plan,
@@ -176,7 +177,7 @@
   }
 
   /** Tells others of what was learnt. */
-  private final class Learnt implements NewsReader.Listener {
+  private final class Learnt implements StatePoller.Listener {
     @Override
     public void changed() {
       tell();
@@ -186,7 +187,7 @@
     public void readItself() {
       if (!seed() && subscriptions.values().stream().anyMatch(PeerSubscription::peerStale)) {
         long wait = environment.random().nextLong(PASS_ON_SPAN_MILLIS);
-        loop.afterMillis(wait, News.this::passOn);
+        loop.afterMillis(wait, StateSync.this::passOn);
       }
     }
   }
--- a/front/src/test/java/org/magnoliaswitch/front/process/CrashArchiveTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/CrashArchiveTest.java
@@ -38,8 +38,8 @@
     private final AtomicBoolean confirms = new AtomicBoolean(true);
 
     @Override
-    public void read(Consumer<NewsSource.Read<List<Kept>>> listener) {
-      listener.accept(new NewsSource.Read.Known<>(List.copyOf(rows)));
+    public void read(Consumer<StateSource.Read<List<Kept>>> listener) {
+      listener.accept(new StateSource.Read.Known<>(List.copyOf(rows)));
     }
 
     @Override
--- a/front/src/test/java/org/magnoliaswitch/front/process/ReadingPlanTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/PollingScheduleTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.Test;
 
 /** Who reads the platform, and when. */
-public final class ReadingPlanTest {
+public final class PollingScheduleTest {
   private static final long DAY = 86_400_000;
   private static final List<InetSocketAddress> SEEDS = List.of(at(1), at(2), at(3));
 
@@ -16,8 +16,8 @@
     return new InetSocketAddress("127.0.0.1", port);
   }
 
-  private static ReadingPlan plan(int port, boolean firstStart) {
-    return ReadingPlan.of(at(port), SEEDS, firstStart, 0);
+  private static PollingSchedule plan(int port, boolean firstStart) {
+    return PollingSchedule.of(at(port), SEEDS, firstStart, 0);
   }
 
   /** Ordinary days and lost readers. */
@@ -35,7 +35,8 @@
      */
     @Test
     public void withoutAnySeedNewsAreYoungerThanTwoSeconds() {
-      ReadingPlan slowest = ReadingPlan.of(at(9), SEEDS, false, ReadingPlan.JITTER_SPAN_MILLIS);
+      PollingSchedule slowest =
+          PollingSchedule.of(at(9), SEEDS, false, PollingSchedule.JITTER_SPAN_MILLIS);
       assertTrue(slowest.untilRead(0, DAY) < 1_800);
       assertEquals(slowest.untilRead(5_000, DAY), 0);
     }
@@ -44,7 +45,7 @@
     @Test
     public void aWaitForChangesEndsBeforeTheSecondSeedLosesPatience() {
       long answered = 200;
-      assertTrue(ReadingPlan.WAIT_MILLIS + answered < plan(2, false).untilRead(0, DAY));
+      assertTrue(PollingSchedule.WAIT_MILLIS + answered < plan(2, false).untilRead(0, DAY));
     }
 
     @Test
--- a/front/src/test/java/org/magnoliaswitch/front/process/NewsTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/StateSyncTest.java
@@ -39,11 +39,11 @@
 import org.testng.annotations.Test;
 
 /** How instances learn from the platform and from each other. */
-public final class NewsTest {
+public final class StateSyncTest {
   private static final HeaderNames NAMES = TestHeaders.NAMES;
 
   /** A platform whose answers a test sets. */
-  private static final class Source implements NewsSource {
+  private static final class Source implements StateSource {
     private final AtomicReference<Read<OperatorState>> configuration =
         new AtomicReference<>(new Read.Failed<>("away"));
     private final AtomicReference<Read<ServerList>> servers =
@@ -122,7 +122,7 @@
               metrics,
               new CrashWatch(clocks));
       knownState = new KnownState(environment.routes(), servers, requests, log);
-      new News(environment, knownState, control, source).start();
+      new StateSync(environment, knownState, control, source).start();
     }
 
     void awaitVersion(long version) {
@@ -167,7 +167,7 @@
       good.answer(4, "a", "b");
       good.waiting.await();
       seed.control.execute(
-          () -> good.waits.removeFirst().accept(new NewsSource.Read.Known<>(declared(4))));
+          () -> good.waits.removeFirst().accept(new StateSource.Read.Known<>(declared(4))));
       alone.awaitVersion(4);
       assertEquals(alone.knownState.servers().servers().keySet(), Set.of("a", "b"));
       assertEquals(alone.environment.instances().count(), 2);
@@ -285,7 +285,7 @@
 
     private static void change(Learner seed, Source source, OperatorState state) {
       seed.control.execute(
-          () -> source.waits.removeFirst().accept(new NewsSource.Read.Known<>(state)));
+          () -> source.waits.removeFirst().accept(new StateSource.Read.Known<>(state)));
     }
 
     private static Evacuations evacuations(long version, String... dataCentres) {
@@ -326,7 +326,7 @@
       source.waiting.await();
       source.answer(7, "a");
       seed.control.execute(
-          () -> source.waits.removeFirst().accept(new NewsSource.Read.Failed<>("history_gone")));
+          () -> source.waits.removeFirst().accept(new StateSource.Read.Failed<>("history_gone")));
       seed.awaitVersion(7);
     }
 
@@ -354,7 +354,7 @@
       source.answer(9, "a");
       Learner learner = new Learner(freePort(), List.of(), source);
       learner.awaitVersion(9);
-      source.configuration.set(new NewsSource.Read.Known<>(declared(8)));
+      source.configuration.set(new StateSource.Read.Known<>(declared(8)));
       int before = source.reads.get();
       while (source.reads.get() < before + 2) {
         Thread.onSpinWait();
--- a/front/src/test/java/org/magnoliaswitch/front/testing/RunningFront.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/RunningFront.java
@@ -21,7 +21,7 @@
 import org.magnoliaswitch.front.load.SharedRetryBudget;
 import org.magnoliaswitch.front.process.Front;
 import org.magnoliaswitch.front.process.FrontSettings;
-import org.magnoliaswitch.front.process.NewsSource;
+import org.magnoliaswitch.front.process.StateSource;
 import org.magnoliaswitch.front.version.CallerLimits;
 import org.magnoliaswitch.front.version.Evacuations;
 import org.magnoliaswitch.front.version.OperatorState;
@@ -172,7 +172,7 @@
   }
 
   /** A source that never changes. */
-  private record Fixed(RouteTable routes, ServerList servers) implements NewsSource {
+  private record Fixed(RouteTable routes, ServerList servers) implements StateSource {
     @Override
     public void operatorState(Consumer<Read<OperatorState>> listener) {
       listener.accept(new Read.Known<>(new OperatorState(routes, new Evacuations(1, Set.of()))));
