--- a/front/src/main/java/org/magnoliaswitch/front/process/CrashArchive.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/CrashArchive.java
@@ -179,7 +179,7 @@
       List<CrashReport.Ended> puts, List<CrashReport.Ended> removals, boolean confirmed) {
     writing = false;
     metrics.count("crash.store.calls", "", confirmed ? "confirmed" : "unconfirmed");
-    log.belief("crash_archived")
+    log.stateChange("crash_archived")
         .add("added", puts.size())
         .add("removed", removals.size())
         .add("confirmed", String.valueOf(confirmed))
--- a/front/src/main/java/org/magnoliaswitch/front/process/CrashLog.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/CrashLog.java
@@ -27,7 +27,7 @@
 
   private void tell(CrashWatch.Change change, CrashWatch.Source source) {
     metrics.count("crash.standings", "", word(change.standing()));
-    log.belief("crash_standing")
+    log.stateChange("crash_standing")
         .add("identity", change.request().toString())
         .add("standing", word(change.standing()))
         .add("ends", change.ends().size())
--- a/front/src/main/java/org/magnoliaswitch/front/process/EventLog.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/EventLog.java
@@ -97,17 +97,17 @@
   }
 
   /** A decision on a request that goes well. */
-  public Line routine(String event) {
+  public Line success(String event) {
     return line(successes, SUCCESS_LINES_PER_SECOND, event);
   }
 
   /** A decision on a request that does not go well. */
-  public Line trouble(String event) {
+  public Line failure(String event) {
     return line(failures, FAILURE_LINES_PER_SECOND, event);
   }
 
   /** A change of what this process believes. */
-  public Line belief(String event) {
+  public Line stateChange(String event) {
     return line(failures, FAILURE_LINES_PER_SECOND, event);
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/process/Front.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/Front.java
@@ -57,7 +57,7 @@
     loop.everyMillis(SWEEP_MILLIS, environment.servers()::sweep);
     environment
         .log()
-        .belief("start")
+        .stateChange("start")
         .add("instance", settings.instance())
         .add("disabled_mechanisms", settings.mechanisms().disabled().toString().replace(" ", ""))
         .write();
@@ -74,7 +74,11 @@
    */
   public void stop(Runnable stopped) {
     stopping = true;
-    environment.log().belief("stop").add("instance", environment.settings().instance()).write();
+    environment
+        .log()
+        .stateChange("stop")
+        .add("instance", environment.settings().instance())
+        .write();
     Loop loop = environment.loop();
     long grace = environment.settings().graceNanos() - RESERVE_NANOS;
     long notice = Math.min(NOTICE_NANOS, grace / 2);
@@ -87,7 +91,7 @@
     callers.refuseNew();
     boolean late = environment.clocks().nanos() - deadline >= 0;
     if (callers.size() == 0 || late) {
-      environment.log().belief("stopped").add("open", callers.size()).write();
+      environment.log().stateChange("stopped").add("open", callers.size()).write();
       stopped.run();
     } else {
       environment.loop().afterMillis(POLL_MILLIS, () -> drain(deadline, stopped));
@@ -100,7 +104,7 @@
       toldReady = ready;
       environment
           .log()
-          .belief(ready ? "ready" : "not_ready")
+          .stateChange(ready ? "ready" : "not_ready")
           .add("version", knownState.routesVersion())
           .write();
     }
--- a/front/src/main/java/org/magnoliaswitch/front/process/KnownState.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/KnownState.java
@@ -35,7 +35,7 @@
     RouteTable before =
         routes.getAndUpdate(current -> next.version() > current.version() ? next : current);
     if (next.version() > before.version()) {
-      log.belief("configuration")
+      log.stateChange("configuration")
           .add("version", next.version())
           .add("before", before.version())
           .add("routes", next.routes().size())
@@ -58,7 +58,7 @@
     }
     boolean changed = !next.dataCentres().equals(before.dataCentres());
     if (changed) {
-      log.belief("evacuations")
+      log.stateChange("evacuations")
           .add("data_centres", names(next))
           .add("before", names(before))
           .add("read_as_of", next.version())
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerDirectory.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerDirectory.java
@@ -158,7 +158,7 @@
     boolean before = state.suspect(now);
     state.failed(now);
     if (!before && state.suspect(now)) {
-      log.belief("server_suspect")
+      log.stateChange("server_suspect")
           .add("server", state.entry().id())
           .add("service", state.entry().service())
           .addDecimal("failure_share", state.failureShare(now))
@@ -173,7 +173,7 @@
     boolean before = state.suspect(now);
     state.succeeded(ratioToExpected, now);
     if (before && !state.suspect(now)) {
-      log.belief("server_trusted")
+      log.stateChange("server_trusted")
           .add("server", state.entry().id())
           .add("service", state.entry().service())
           .addDecimal("failure_share", state.failureShare(now))
@@ -237,7 +237,7 @@
     if (learnt.size() <= MOST_TOLD_SINGLY) {
       learnt.forEach(entry -> told("server_learnt", entry));
     } else {
-      log.belief("servers_learnt")
+      log.stateChange("servers_learnt")
           .add("count", learnt.size())
           .add("known", byId.size())
           .add("list", current.version())
@@ -246,7 +246,7 @@
   }
 
   private void told(String event, ServerEntry entry) {
-    log.belief(event)
+    log.stateChange(event)
         .add("server", entry.id())
         .add("service", entry.service())
         .add("list", current.version())
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerNotices.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerNotices.java
@@ -75,7 +75,7 @@
 
   private EventLog.Line tell(String event, ServerState server) {
     metrics.count("server.notices", server.entry().service(), event);
-    return log.belief(event)
+    return log.stateChange(event)
         .add("server", server.entry().id())
         .add("service", server.entry().service());
   }
--- a/front/src/main/java/org/magnoliaswitch/front/process/StatePoller.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StatePoller.java
@@ -230,7 +230,7 @@
   private void waitFailed(String reason, long begunNanos) {
     waitHealthy = false;
     changesMissed = true;
-    log.belief("wait_failed")
+    log.stateChange("wait_failed")
         .add("reason", reason)
         .add("took_ms", millisSince(begunNanos))
         .add("configuration_age_ms", operatorStateAgeMillis())
@@ -256,7 +256,7 @@
     switch (read) {
       case StateSource.Read.Known<ServerList> known -> {
         if (sourceLost) {
-          log.belief("source_regained").add("version", knownState.routesVersion()).write();
+          log.stateChange("source_regained").add("version", knownState.routesVersion()).write();
           sourceLost = false;
         }
         knownState.offer(keeper.read(known.value(), clocks.nanos()));
@@ -276,7 +276,7 @@
 
   private void failed(String what, String reason, long asOf) {
     reading = false;
-    log.belief("read_failed")
+    log.stateChange("read_failed")
         .add("reading", what)
         .add("reason", reason)
         .add("took_ms", millisSince(asOf))
@@ -285,7 +285,7 @@
     environment.metrics().count("platform.reads", "", "failed");
     keeper.failed();
     if (!sourceLost) {
-      log.belief("source_lost")
+      log.stateChange("source_lost")
           .add("reading", what)
           .add("reason", reason)
           .add("age_ms", ageMillis())
--- a/front/src/main/java/org/magnoliaswitch/front/process/StateSync.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StateSync.java
@@ -277,7 +277,7 @@
     if (!before.equals(Optional.of(place.index()))) {
       environment
           .log()
-          .belief("placed")
+          .stateChange("placed")
           .add("index", place.index())
           .add("places", place.places())
           .write();
--- a/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
@@ -198,7 +198,7 @@
     }
     environment
         .log()
-        .routine("send")
+        .success("send")
         .add("request", requestId)
         .add("server", serverId())
         .add("left_ms", leftMillis)
@@ -236,7 +236,7 @@
     int status = whole.status().code();
     if (status == HttpResponseStatus.MISDIRECTED_REQUEST.code()) {
       pool.state().markGone();
-      environment.log().belief("server_replaced").add("server", serverId()).write();
+      environment.log().stateChange("server_replaced").add("server", serverId()).write();
       exchange.rejected(this, status);
     } else if (whole.headers().contains(environment.names().notExecuted())) {
       environment.notices().heard(pool.state(), notice(whole));
--- a/front/src/main/java/org/magnoliaswitch/front/request/CrashGuard.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/CrashGuard.java
@@ -54,7 +54,7 @@
   private void tell(String server, boolean warned) {
     environment
         .log()
-        .trouble("server_ended")
+        .failure("server_ended")
         .add("server", server)
         .add("request", requestId)
         .add("identity", crashes.identities().content().toString())
--- a/front/src/main/java/org/magnoliaswitch/front/request/FrontDispatcher.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/FrontDispatcher.java
@@ -46,7 +46,7 @@
     environment.metrics().count("unreadable.requests", "", String.valueOf(status.code()));
     environment
         .log()
-        .trouble("unreadable")
+        .failure("unreadable")
         .add("request", head.map(this::requestId).orElse(""))
         .add("target", head.map(FrontDispatcher::shortTarget).orElse(""))
         .add("status", status.code())
--- a/front/src/main/java/org/magnoliaswitch/front/request/Probes.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Probes.java
@@ -193,7 +193,7 @@
         environment.metrics().count("probes", service(), "silent");
         connection.abandon();
         environment.servers().failed(pool.state(), "probe_silent");
-        environment.log().trouble("probe_silent").add("server", pool.state().entry().id()).write();
+        environment.log().failure("probe_silent").add("server", pool.state().entry().id()).write();
         round.answered();
       }
     }
@@ -216,7 +216,7 @@
         pool.state().markGone();
         environment
             .log()
-            .belief("server_replaced")
+            .stateChange("server_replaced")
             .add("server", pool.state().entry().id())
             .add("found", id)
             .write();
--- a/front/src/main/java/org/magnoliaswitch/front/request/RequestReport.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RequestReport.java
@@ -35,7 +35,7 @@
     environment.metrics().count("attempts", service, event);
     environment
         .log()
-        .trouble(event)
+        .failure(event)
         .add("request", requestId)
         .add("service", service)
         .add("server", server)
@@ -51,7 +51,7 @@
     environment.metrics().count("attempts", service, "broken");
     environment
         .log()
-        .trouble("broken")
+        .failure("broken")
         .add("request", requestId)
         .add("service", service)
         .add("server", server)
@@ -64,7 +64,7 @@
   void waits(String service, RequestTimes times, double limitNanos, int inLine) {
     environment
         .log()
-        .routine("wait")
+        .success("wait")
         .add("request", requestId)
         .add("service", service)
         .add("servers", environment.servers().of(service).size())
@@ -81,7 +81,7 @@
     environment.metrics().count("attempts", service, "overdue");
     environment
         .log()
-        .routine("overdue")
+        .success("overdue")
         .add("request", requestId)
         .add("service", service)
         .add("server", server)
@@ -94,7 +94,7 @@
     environment.metrics().count("attempts", service, reason);
     environment
         .log()
-        .trouble("not_repeated")
+        .failure("not_repeated")
         .add("request", requestId)
         .add("service", service)
         .add("reason", reason)
@@ -111,7 +111,7 @@
   void refused(String service, String reason, long waitedNanos, long retryAfterNanos) {
     environment
         .log()
-        .trouble("refused")
+        .failure("refused")
         .add("request", requestId)
         .add("service", service)
         .add("reason", reason)
@@ -144,7 +144,7 @@
       long objectiveLeftNanos) {
     environment.metrics().count("requests", service, outcome);
     EventLog log = environment.log();
-    EventLog.Line line = outcome.equals(ANSWERED) ? log.routine("end") : log.trouble("end");
+    EventLog.Line line = outcome.equals(ANSWERED) ? log.success("end") : log.failure("end");
     line.add("request", requestId)
         .add("route", route)
         .add("service", service)
