--- a/bench/src/main/java/org/magnoliaswitch/bench/model/FrontExchange.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/FrontExchange.java
@@ -66,7 +66,7 @@
     this.request = request;
     this.arrivedNanos = now();
     long told = request.deadlineNanos() - arrivedNanos;
-    this.spentNanos = node.routes().fullPatienceNanos(request.kind().route(), told) - told;
+    this.spentNanos = node.routes().longestWaitNanos(request.kind().route(), told) - told;
   }
 
   void start() {
@@ -314,7 +314,7 @@
       first.get().offered(state);
     }
     state.succeeded(tookNanos / (baseline.nanos() * slowness), now());
-    baseline.learn(tookNanos / slowness);
+    baseline.update(tookNanos / slowness);
   }
 
   private boolean suits(ServerState state) {
--- a/front/src/main/java/org/magnoliaswitch/front/FrontProcess.java
+++ b/front/src/main/java/org/magnoliaswitch/front/FrontProcess.java
@@ -6,7 +6,7 @@
 import org.magnoliaswitch.core.process.CrashWatch;
 import org.magnoliaswitch.front.connection.ServerConnector;
 import org.magnoliaswitch.front.loop.Loop;
-import org.magnoliaswitch.front.process.ColdSends;
+import org.magnoliaswitch.front.process.ColdServerQuotas;
 import org.magnoliaswitch.front.process.CrashLog;
 import org.magnoliaswitch.front.process.Environment;
 import org.magnoliaswitch.front.process.EventLog;
@@ -17,9 +17,9 @@
 import org.magnoliaswitch.front.process.InstanceCount;
 import org.magnoliaswitch.front.process.KnownState;
 import org.magnoliaswitch.front.process.RouteState;
-import org.magnoliaswitch.front.process.SendQuotas;
 import org.magnoliaswitch.front.process.ServerDirectory;
 import org.magnoliaswitch.front.process.ServerNotices;
+import org.magnoliaswitch.front.process.ServerQuotas;
 import org.magnoliaswitch.front.process.StateSource;
 import org.magnoliaswitch.front.process.StateSync;
 import org.magnoliaswitch.front.request.FrontDispatcher;
@@ -53,9 +53,9 @@
     ServerConnector connector = new ServerConnector(requests, clocks, names);
     AtomicReference<RouteTable> routes = new AtomicReference<>(RouteTable.EMPTY);
     InstanceCount instances = new InstanceCount(ASSUMED_INSTANCES, clocks);
-    ColdSends coldSends = new ColdSends(settings, clocks, routes, instances);
+    ColdServerQuotas coldServers = new ColdServerQuotas(settings, clocks, routes, instances);
     ServerDirectory servers =
-        new ServerDirectory(connector, clocks, log, settings, instances, coldSends);
+        new ServerDirectory(connector, clocks, log, settings, instances, coldServers);
     CrashWatch crashes = new CrashWatch(clocks);
     new CrashLog(crashes, log, metrics);
     Environment environment =
@@ -68,9 +68,9 @@
             routes,
             new Freshness(),
             servers,
-            new RouteState(random, settings.repeats()),
+            new RouteState(random, settings.retryBudget()),
             instances,
-            new SendQuotas(settings, clocks, instances, coldSends, servers::part),
+            new ServerQuotas(settings, clocks, instances, coldServers, servers::subsetShare),
             new ServerNotices(servers, clocks, log, metrics),
             log,
             metrics,
--- a/front/src/main/java/org/magnoliaswitch/front/process/ColdSends.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ColdServerQuotas.java
@@ -9,7 +9,7 @@
 import org.magnoliaswitch.front.version.Warmup;
 
 /** What this instance may send to servers whose caches are cold; used by one thread. */
-public final class ColdSends {
+public final class ColdServerQuotas {
   private final FrontSettings settings;
   private final Clocks clocks;
   private final AtomicReference<RouteTable> routes;
@@ -19,7 +19,7 @@
   /** A server and what its service's servers bear while they are cold. */
   private record Cold(String incarnation, Warmup warmup) {}
 
-  public ColdSends(
+  public ColdServerQuotas(
       FrontSettings settings,
       Clocks clocks,
       AtomicReference<RouteTable> routes,
@@ -64,6 +64,6 @@
 
   private ColdShare share(Cold cold) {
     SenderDraw draw = instances.draw(settings.instance(), cold.incarnation());
-    return ColdShare.of(cold.warmup(), settings.coldSends(), draw);
+    return ColdShare.of(cold.warmup(), settings.coldServerBounds(), draw);
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/CrashArchive.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/CrashArchive.java
@@ -101,24 +101,24 @@
     }
   }
 
-  private void read(StateSource.Read<List<CrashStore.Kept>> read) {
+  private void read(StateSource.Read<List<CrashStore.StoredCrash>> read) {
     reading = false;
     switch (read) {
-      case StateSource.Read.Known<List<CrashStore.Kept>> known -> take(known.value());
-      case StateSource.Read.Unchanged<List<CrashStore.Kept>> unchanged -> {
+      case StateSource.Read.Known<List<CrashStore.StoredCrash>> known -> take(known.value());
+      case StateSource.Read.Unchanged<List<CrashStore.StoredCrash>> unchanged -> {
         // Nothing to take.
       }
-      case StateSource.Read.Failed<List<CrashStore.Kept>> failed ->
+      case StateSource.Read.Failed<List<CrashStore.StoredCrash>> failed ->
           metrics.count("crash.store.calls", "", failed.reason());
     }
   }
 
-  private void take(List<CrashStore.Kept> rows) {
+  private void take(List<CrashStore.StoredCrash> rows) {
     long now = clocks.millis();
     List<CrashReport> counting = new ArrayList<>();
     List<CrashReport.Ended> outdated = new ArrayList<>();
     Set<End> foundNow = new HashSet<>();
-    for (CrashStore.Kept row : rows) {
+    for (CrashStore.StoredCrash row : rows) {
       CrashReport.Ended ended = row.ended();
       boolean old = now - row.epochMillis() > MAX_AGE_MILLIS;
       if (old || watch.table().cleared(ended.request(), ended.server())) {
--- a/front/src/main/java/org/magnoliaswitch/front/process/CrashStore.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/CrashStore.java
@@ -14,7 +14,7 @@
   CrashStore NONE =
       new CrashStore() {
         @Override
-        public void read(Consumer<StateSource.Read<List<Kept>>> listener) {
+        public void read(Consumer<StateSource.Read<List<StoredCrash>>> listener) {
           listener.accept(new StateSource.Read.Unchanged<>());
         }
 
@@ -32,10 +32,10 @@
    *
    * @param epochMillis when it was written, by the writer's time of day
    */
-  record Kept(CrashReport.Ended ended, long epochMillis) {}
+  record StoredCrash(CrashReport.Ended ended, long epochMillis) {}
 
   /** Reads all that is kept. */
-  void read(Consumer<StateSource.Read<List<Kept>>> listener);
+  void read(Consumer<StateSource.Read<List<StoredCrash>>> listener);
 
   /**
    * Adds and removes ends; the listener is told whether the store confirmed it. What was not
--- a/front/src/main/java/org/magnoliaswitch/front/process/Environment.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/Environment.java
@@ -33,7 +33,7 @@
     ServerDirectory servers,
     RouteState routeState,
     InstanceCount instances,
-    SendQuotas quotas,
+    ServerQuotas quotas,
     ServerNotices notices,
     EventLog log,
     FrontMetrics metrics,
--- a/front/src/main/java/org/magnoliaswitch/front/process/FrontSettings.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/FrontSettings.java
@@ -19,9 +19,9 @@
  * @param firstStart whether all instances start for the first time, together
  * @param metricsPort port of the metrics page, on the address of the readiness check
  * @param graceNanos time between the signal to stop and the kill
- * @param repeats budget of further sends over all instances
+ * @param retryBudget budget of further sends over all instances
  * @param probesPerServer health checks per second that one server may get from all instances
- * @param coldSends what all instances together may send to a cold server
+ * @param coldServerBounds what all instances together may send to a cold server
  * @param regions region of each data centre, by the data centre's name
  * @param mechanisms which parts of the decisions under load are in force
  */
@@ -35,9 +35,9 @@
     boolean firstStart,
     int metricsPort,
     long graceNanos,
-    SharedRetryBudget.Limits repeats,
+    SharedRetryBudget.Limits retryBudget,
     double probesPerServer,
-    ColdShare.Bounds coldSends,
+    ColdShare.Bounds coldServerBounds,
     Map<String, String> regions,
     Mechanisms mechanisms) {
   public FrontSettings {
--- a/front/src/main/java/org/magnoliaswitch/front/process/LatencyBaseline.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/LatencyBaseline.java
@@ -25,7 +25,7 @@
   }
 
   /** Takes the latency of a whole answer, divided by the server's slowness at that moment. */
-  public void learn(double undisturbedNanos) {
+  public void update(double undisturbedNanos) {
     nanos += WEIGHT * (Math.min(undisturbedNanos, MAX_RATIO * nanos) - nanos);
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/RouteState.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/RouteState.java
@@ -37,7 +37,7 @@
    * The longest time that callers of a route wait; those that wait less have spent the difference
    * on earlier tries.
    */
-  public long fullPatienceNanos(Route route, long callerWaitNanos) {
+  public long longestWaitNanos(Route route, long callerWaitNanos) {
     return patience.merge(route.name(), callerWaitNanos, Math::max);
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerDirectory.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerDirectory.java
@@ -27,7 +27,7 @@
   private final ServerConnector connector;
   private final Clocks clocks;
   private final EventLog log;
-  private final ColdSends coldSends;
+  private final ColdServerQuotas coldServers;
   private final Map<String, ServerPool> byId = new HashMap<>();
   private final ServerGroups groups;
   private final BackpressureMemory backpressure = new BackpressureMemory();
@@ -41,12 +41,12 @@
       EventLog log,
       FrontSettings settings,
       InstanceCount instances,
-      ColdSends coldSends) {
+      ColdServerQuotas coldServers) {
     this.connector = connector;
     this.clocks = clocks;
     this.log = log;
-    this.coldSends = coldSends;
-    this.groups = new ServerGroups(settings, clocks, instances, coldSends);
+    this.coldServers = coldServers;
+    this.groups = new ServerGroups(settings, clocks, instances, coldServers);
   }
 
   /** Whether a list has been received. */
@@ -65,8 +65,8 @@
   }
 
   /** Share of a service's servers that this instance sends to, as do others of theirs. */
-  public double part(String service) {
-    return groups.part(service);
+  public double subsetShare(String service) {
+    return groups.subsetShare(service);
   }
 
   /** The connections to a server; a server that has left since keeps a pool of its own. */
@@ -112,7 +112,7 @@
       if (state.evacuated()) {
         pool.closeIdle();
       } else if (before) {
-        state.assumeCold(coldSends.spanNanos(state.entry().service()), clocks.nanos());
+        state.assumeCold(coldServers.spanNanos(state.entry().service()), clocks.nanos());
       }
     }
     groups.form(byId.values());
@@ -134,9 +134,9 @@
    * Notes that no connection to a server could be opened. Others take its place for a while, and
    * whoever listens there next may have started anew.
    */
-  public void unreachable(ServerState state) {
-    failed(state, "unreachable");
-    coldSends.unreachable(state);
+  public void recordUnreachable(ServerState state) {
+    recordFailure(state, "unreachable");
+    coldServers.unreachable(state);
     state.unreachable(clocks.nanos());
     replaceUnavailable();
   }
@@ -153,7 +153,7 @@
   }
 
   /** Notes a failure of a server, and tells when it makes the server suspect. */
-  public void failed(ServerState state, String reason) {
+  public void recordFailure(ServerState state, String reason) {
     long now = clocks.nanos();
     boolean before = state.suspect(now);
     state.failed(now);
@@ -168,7 +168,7 @@
   }
 
   /** Notes a whole answer, and tells when a suspect server is trusted again. */
-  public void succeeded(ServerState state, double ratioToExpected) {
+  public void recordSuccess(ServerState state, double ratioToExpected) {
     long now = clocks.nanos();
     boolean before = state.suspect(now);
     state.succeeded(ratioToExpected, now);
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerGroups.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerGroups.java
@@ -20,17 +20,20 @@
   private final FrontSettings settings;
   private final Clocks clocks;
   private final InstanceCount instances;
-  private final ColdSends coldSends;
+  private final ColdServerQuotas coldServers;
   private final Map<String, List<ServerPool>> byService = new HashMap<>();
   private final Map<String, Double> parts = new HashMap<>();
   private Set<ServerPool> unavailable = Set.of();
 
   ServerGroups(
-      FrontSettings settings, Clocks clocks, InstanceCount instances, ColdSends coldSends) {
+      FrontSettings settings,
+      Clocks clocks,
+      InstanceCount instances,
+      ColdServerQuotas coldServers) {
     this.settings = settings;
     this.clocks = clocks;
     this.instances = instances;
-    this.coldSends = coldSends;
+    this.coldServers = coldServers;
   }
 
   /** The servers of a service, those that leave included; of a large service a part. */
@@ -39,7 +42,7 @@
   }
 
   /** Share of a service's servers that this instance sends to. */
-  double part(String service) {
+  double subsetShare(String service) {
     return parts.getOrDefault(service, 1.0);
   }
 
@@ -92,7 +95,7 @@
   private List<ServerPool> withColdOnes(List<ServerPool> used, List<ServerPool> all) {
     Set<ServerPool> chosen = new LinkedHashSet<>(used);
     for (ServerPool pool : all) {
-      if (pool.state().cold(clocks.nanos()) && coldSends.drawn(pool.state())) {
+      if (pool.state().cold(clocks.nanos()) && coldServers.drawn(pool.state())) {
         chosen.add(pool);
       }
     }
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerNotices.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerNotices.java
@@ -35,7 +35,7 @@
   }
 
   /** Takes the notice in the answer to a health check or to a request that was turned away. */
-  public void heard(ServerState server, ServerNotice notice) {
+  public void received(ServerState server, ServerNotice notice) {
     Before before = new Before(server.backpressure());
     server.backpressure().take(notice, clocks.nanos());
     taken(server, notice, before);
--- a/front/src/main/java/org/magnoliaswitch/front/process/SendQuotas.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerQuotas.java
@@ -12,7 +12,7 @@
  * What this instance may send to servers that take fewer requests than they could run: while their
  * caches are cold, or because they asked for it; used by one thread.
  */
-public final class SendQuotas {
+public final class ServerQuotas {
   /**
    * After this time without a word of its server a limit is put to the test with one request, or an
    * instance without a share would never hear that it has ended.
@@ -24,7 +24,7 @@
   private final FrontSettings settings;
   private final Clocks clocks;
   private final InstanceCount instances;
-  private final ColdSends coldSends;
+  private final ColdServerQuotas coldServers;
   private final ToDoubleFunction<String> part;
   private final ShareCache<Limit, RateLimitShare> shares;
 
@@ -36,23 +36,23 @@
    *
    * @param part share of a service's servers that each instance sends to
    */
-  public SendQuotas(
+  public ServerQuotas(
       FrontSettings settings,
       Clocks clocks,
       InstanceCount instances,
-      ColdSends coldSends,
+      ColdServerQuotas coldServers,
       ToDoubleFunction<String> part) {
     this.settings = settings;
     this.clocks = clocks;
     this.instances = instances;
-    this.coldSends = coldSends;
+    this.coldServers = coldServers;
     this.part = part;
     this.shares = new ShareCache<>(instances, this::share);
   }
 
   /** Whether a request may be sent to a server now. */
   public boolean allowed(ServerState server) {
-    return coldSends.allowed(server) && askedWaitNanos(server) == 0;
+    return coldServers.allowed(server) && askedWaitNanos(server) == 0;
   }
 
   /**
@@ -60,7 +60,7 @@
    * ServerState#NEVER} if that cannot be foreseen.
    */
   public long waitNanos(ServerState server) {
-    return coldSends.drawn(server) ? askedWaitNanos(server) : ServerState.NEVER;
+    return coldServers.drawn(server) ? askedWaitNanos(server) : ServerState.NEVER;
   }
 
   /** The same as far as what the server asked for decides it. */
--- a/front/src/main/java/org/magnoliaswitch/front/process/StateSource.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StateSource.java
@@ -53,7 +53,7 @@
   void nextOperatorState(long waitMillis, Consumer<Read<OperatorState>> listener);
 
   /** Where ends of servers under requests are kept. */
-  default CrashStore crashes() {
+  default CrashStore crashStore() {
     return CrashStore.NONE;
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/process/StateSync.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StateSync.java
@@ -63,7 +63,7 @@
             settings.seeds(),
             settings.firstStart(),
             environment.random().nextInt(PollingSchedule.JITTER_SPAN_MILLIS));
-    this.archive = new CrashArchive(source.crashes(), environment, control, this::hearsPeers);
+    this.archive = new CrashArchive(source.crashStore(), environment, control, this::hearsPeers);
     this.reader =
         new StatePoller(
             source,
--- a/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
@@ -115,7 +115,7 @@
             OUTRUN_MILLIS,
             () -> {
               if (!ended) {
-                environment.servers().failed(pool.state(), "never_answered");
+                environment.servers().recordFailure(pool.state(), "never_answered");
                 abandon();
               }
             });
@@ -127,7 +127,7 @@
       abandon();
       return;
     }
-    environment.servers().failed(pool.state(), "timeout");
+    environment.servers().recordFailure(pool.state(), "timeout");
     if (idempotent) {
       abandon();
     } else {
@@ -150,7 +150,7 @@
   private void connectFailed(Throwable cause) {
     if (!ended) {
       end();
-      environment.servers().unreachable(pool.state());
+      environment.servers().recordUnreachable(pool.state());
       exchange.unreachable(this, cause.getClass().getSimpleName());
     }
   }
@@ -224,7 +224,7 @@
     switch (reply) {
       case ServerReply.Whole whole -> whole(whole);
       case ServerReply.Broken broken -> {
-        environment.servers().failed(pool.state(), "broken");
+        environment.servers().recordFailure(pool.state(), "broken");
         exchange.guard().broke(pool, warned);
         exchange.broken(this, broken.reason());
       }
@@ -239,8 +239,8 @@
       environment.log().stateChange("server_replaced").add("server", serverId()).write();
       exchange.rejected(this, status);
     } else if (whole.headers().contains(environment.names().notExecuted())) {
-      environment.notices().heard(pool.state(), notice(whole));
-      environment.servers().failed(pool.state(), "rejected");
+      environment.notices().received(pool.state(), notice(whole));
+      environment.servers().recordFailure(pool.state(), "rejected");
       exchange.rejected(this, status);
     } else {
       environment.notices().answered(pool.state(), notice(whole), sentNanos);
@@ -256,7 +256,7 @@
 
   private void judge(int status) {
     if (status >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code()) {
-      environment.servers().failed(pool.state(), "error");
+      environment.servers().recordFailure(pool.state(), "error");
       return;
     }
     exchange.learnLatency(environment.clocks().nanos() - sentNanos, slownessAtStart, pool.state());
--- a/front/src/main/java/org/magnoliaswitch/front/request/CallerWait.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/CallerWait.java
@@ -23,7 +23,7 @@
     if (told.isEmpty()) {
       return told;
     }
-    return OptionalLong.of(state.fullPatienceNanos(route, told.getAsLong()) - told.getAsLong());
+    return OptionalLong.of(state.longestWaitNanos(route, told.getAsLong()) - told.getAsLong());
   }
 
   /** What the caller says; unreadable text says nothing. */
--- a/front/src/main/java/org/magnoliaswitch/front/request/CrashGuard.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/CrashGuard.java
@@ -44,7 +44,7 @@
     pool.findWhetherEnded(
         ended -> {
           if (ended) {
-            environment.servers().unreachable(pool.state());
+            environment.servers().recordUnreachable(pool.state());
             tell(server, warned);
           }
           crashes.lookedAt(server, ended, warned);
--- a/front/src/main/java/org/magnoliaswitch/front/request/Probes.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Probes.java
@@ -79,7 +79,7 @@
         ProbeShare.perSecond(
             environment.settings().probesPerServer(),
             environment.instances().count(),
-            environment.servers().part(pool.state().entry().service()));
+            environment.servers().subsetShare(pool.state().entry().service()));
     return limits
         .computeIfAbsent(pool.state(), server -> new RateLimit(BURST, now))
         .take(perSecond, now);
@@ -112,7 +112,7 @@
     }
 
     private void unreachable(ServerPool pool) {
-      environment.servers().unreachable(pool.state());
+      environment.servers().recordUnreachable(pool.state());
       answered();
     }
 
@@ -192,7 +192,7 @@
         ended = true;
         environment.metrics().count("probes", service(), "silent");
         connection.abandon();
-        environment.servers().failed(pool.state(), "probe_silent");
+        environment.servers().recordFailure(pool.state(), "probe_silent");
         environment.log().failure("probe_silent").add("server", pool.state().entry().id()).write();
         round.answered();
       }
@@ -222,7 +222,7 @@
             .write();
         return;
       }
-      environment.notices().heard(pool.state(), NoticeHeaders.read(whole, environment.names()));
+      environment.notices().received(pool.state(), NoticeHeaders.read(whole, environment.names()));
       learnWarmup(whole.headers().get(environment.names().warmupLeft()));
       String load = whole.headers().get(environment.names().load());
       if (load == null) {
--- a/front/src/main/java/org/magnoliaswitch/front/request/RoutedExchange.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RoutedExchange.java
@@ -271,8 +271,8 @@
     LatencyBaseline baseline = environment.routeState().baseline(route);
     placing.offerRoom(server);
     environment.metrics().latency(service, tookNanos);
-    environment.servers().succeeded(server, tookNanos / (baseline.nanos() * slowness));
-    baseline.learn(tookNanos / slowness);
+    environment.servers().recordSuccess(server, tookNanos / (baseline.nanos() * slowness));
+    baseline.update(tookNanos / slowness);
   }
 
   /** Whether the end of an attempt changes nothing: the caller is served, or another may answer. */
--- a/front/src/test/java/org/magnoliaswitch/front/process/ColdSendsTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ColdServerQuotasTest.java
@@ -19,7 +19,7 @@
 import org.testng.annotations.Test;
 
 /** What one instance sends to a server that is cold. */
-public final class ColdSendsTest {
+public final class ColdServerQuotasTest {
   private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
   private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
   private static final long SPAN = 3 * SECOND;
@@ -29,7 +29,7 @@
 
   private PausedClock time;
   private InstanceCount instances;
-  private ColdSends coldSends;
+  private ColdServerQuotas coldServers;
   private ServerState server;
 
   /** A server that bears six requests a second while it is cold, and two instances. */
@@ -37,25 +37,25 @@
   public void start() {
     time = new PausedClock();
     instances = new InstanceCount(2, time.clocks());
-    coldSends = sends(new Warmup(SPAN, 2 * SHARE));
+    coldServers = sends(new Warmup(SPAN, 2 * SHARE));
     server = new ServerState(Servers.entry("a", false), time.read());
   }
 
-  private ColdSends sends(Warmup warmup) {
+  private ColdServerQuotas sends(Warmup warmup) {
     RouteTable routes =
         new RouteTable(
             1,
             List.of(),
             List.of(new ServicePolicy("s", "/health", 9, warmup)),
             CallerLimits.DEFAULT);
-    return new ColdSends(
+    return new ColdServerQuotas(
         TestEnvironment.settings(), time.clocks(), new AtomicReference<>(routes), instances);
   }
 
   private int sendAll(long spanNanos) {
     int sent = 0;
     for (long passed = 0; passed < spanNanos; passed += MILLI) {
-      if (coldSends.allowed(server)) {
+      if (coldServers.allowed(server)) {
         server.written(time.read());
         sent++;
       }
@@ -98,9 +98,9 @@
   @Test
   public void rightAfterTheStartAColdServerGetsNothing() {
     server.assumeCold(SPAN, time.read());
-    assertFalse(coldSends.allowed(server));
+    assertFalse(coldServers.allowed(server));
     time.advance(2 * SECOND);
-    assertTrue(coldSends.allowed(server));
+    assertTrue(coldServers.allowed(server));
   }
 
   /** Others have joined, and the share that was worked out before would be too large now. */
@@ -116,16 +116,16 @@
   /** Servers of a service that declares nothing bear requests from their first moment on. */
   @Test
   public void withoutADeclarationNothingIsHeldBack() {
-    coldSends = sends(Warmup.UNLIMITED);
+    coldServers = sends(Warmup.UNLIMITED);
     server.assumeCold(SPAN, time.read());
-    assertTrue(coldSends.allowed(server));
+    assertTrue(coldServers.allowed(server));
   }
 
   /** Nobody listens at a server's address: its process has ended, and the next one starts cold. */
   @Test
   public void aServerThatCouldNotBeReachedCountsAsCold() {
     time.advance(10 * SECOND);
-    coldSends.unreachable(server);
+    coldServers.unreachable(server);
     assertTrue(server.cold(time.read()));
     server.warmupTold(0, time.read());
     assertFalse(server.cold(time.read()));
--- a/front/src/test/java/org/magnoliaswitch/front/process/CrashArchiveTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/CrashArchiveTest.java
@@ -32,13 +32,13 @@
 
   /** A store that a test fills and looks into. */
   private static final class Store implements CrashStore {
-    private final List<Kept> rows = new ArrayList<>();
+    private final List<StoredCrash> rows = new ArrayList<>();
     private final BlockingQueue<List<CrashReport.Ended>> puts = new LinkedBlockingQueue<>();
     private final BlockingQueue<List<CrashReport.Ended>> removals = new LinkedBlockingQueue<>();
     private final AtomicBoolean confirms = new AtomicBoolean(true);
 
     @Override
-    public void read(Consumer<StateSource.Read<List<Kept>>> listener) {
+    public void read(Consumer<StateSource.Read<List<StoredCrash>>> listener) {
       listener.accept(new StateSource.Read.Known<>(List.copyOf(rows)));
     }
 
@@ -95,8 +95,8 @@
         });
   }
 
-  private CrashStore.Kept now(CrashReport.Ended ended) {
-    return new CrashStore.Kept(ended, environment.clocks().millis());
+  private CrashStore.StoredCrash now(CrashReport.Ended ended) {
+    return new CrashStore.StoredCrash(ended, environment.clocks().millis());
   }
 
   @Test
@@ -166,7 +166,7 @@
     CrashReport.Ended old = new CrashReport.Ended(new RequestIdentity(5, 6), "d", false);
     long yesterday = environment.clocks().millis() - TimeUnit.DAYS.toMillis(1) - 1;
     store.rows.add(now(ended("a")));
-    store.rows.add(new CrashStore.Kept(old, yesterday));
+    store.rows.add(new CrashStore.StoredCrash(old, yesterday));
     onLoop(() -> archive.read());
     assertEquals(store.removals.take(), List.of(ended("a"), old));
     assertEquals(environment.crashes().table().endsUnder(old.request()), Set.of());
--- a/front/src/test/java/org/magnoliaswitch/front/process/ServerDirectoryTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ServerDirectoryTest.java
@@ -55,10 +55,11 @@
             CallerLimits.DEFAULT);
     FrontSettings settings = TestEnvironment.settings();
     InstanceCount instances = new InstanceCount(count, clocks);
-    ColdSends coldSends = new ColdSends(settings, clocks, new AtomicReference<>(routes), instances);
+    ColdServerQuotas coldServers =
+        new ColdServerQuotas(settings, clocks, new AtomicReference<>(routes), instances);
     ServerConnector connector = new ServerConnector(Loop.start(), clocks, NAMES);
     return new ServerDirectory(
-        connector, clocks, new EventLog(clocks), settings, instances, coldSends);
+        connector, clocks, new EventLog(clocks), settings, instances, coldServers);
   }
 
   private static void apply(ServerDirectory directory, long version, ServerEntry... entries) {
@@ -152,7 +153,7 @@
       List<ServerState> before = used();
       assertTrue(before.size() < SERVERS / 2);
       List<ServerState> silent = before.subList(0, before.size() - 2);
-      silent.forEach(directory::unreachable);
+      silent.forEach(directory::recordUnreachable);
       List<ServerState> after = new ArrayList<>(used());
       assertTrue(after.containsAll(before));
       after.removeAll(silent);
@@ -163,7 +164,7 @@
     @Test
     public void afterAWhileTheyAreTriedAgainInTheirPlace() {
       List<ServerState> before = used();
-      before.subList(0, 5).forEach(directory::unreachable);
+      before.subList(0, 5).forEach(directory::recordUnreachable);
       assertTrue(used().size() > before.size());
       time.advance(3 * SECOND);
       directory.sweep();
@@ -191,7 +192,7 @@
     public void oneThatAnswersIsUsedAgain() {
       List<ServerState> before = used();
       List<ServerState> silent = before.subList(0, 5);
-      silent.forEach(directory::unreachable);
+      silent.forEach(directory::recordUnreachable);
       silent.forEach(state -> state.sampled(new LoadSample(0, 0, 2, 1), 0, time.read()));
       directory.sweep();
       assertEquals(used(), before);
@@ -201,7 +202,7 @@
     @Test
     public void whenNoneCanBeReachedTheUsualOnesAreTried() {
       List<ServerState> before = used();
-      directory.all().forEach(pool -> directory.unreachable(pool.state()));
+      directory.all().forEach(pool -> directory.recordUnreachable(pool.state()));
       assertEquals(used(), before);
     }
   }
@@ -282,7 +283,7 @@
       old.sent();
       old.markGone();
       for (int i = 0; i < 5; i++) {
-        directory.failed(old, "error");
+        directory.recordFailure(old, "error");
       }
       apply(directory, 2, Servers.entry("a", true));
       apply(directory, 3, Servers.restarted(Servers.entry("a", true)));
@@ -300,7 +301,7 @@
       apply(directory, 1, Servers.entry("a", false));
       ServerState old = only(directory);
       apply(directory, 2, Servers.restarted(Servers.entry("a", false)));
-      directory.failed(old, "broken");
+      directory.recordFailure(old, "broken");
       assertEquals(only(directory).failureShare(Clocks.system().nanos()), 0.0);
     }
 
--- a/front/src/test/java/org/magnoliaswitch/front/process/SendQuotasTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ServerQuotasTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.Test;
 
 /** What one instance sends to servers that ask for fewer requests. */
-public final class SendQuotasTest {
+public final class ServerQuotasTest {
   private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
   private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
@@ -27,7 +27,7 @@
 
   private PausedClock time;
   private InstanceCount instances;
-  private SendQuotas quotas;
+  private ServerQuotas quotas;
   private ServerState server;
 
   /** Two instances, both of which send to all servers. */
@@ -37,8 +37,8 @@
     instances = new InstanceCount(2, time.clocks());
     FrontSettings settings = TestEnvironment.settings();
     AtomicReference<RouteTable> routes = new AtomicReference<>(RouteTable.EMPTY);
-    ColdSends coldSends = new ColdSends(settings, time.clocks(), routes, instances);
-    quotas = new SendQuotas(settings, time.clocks(), instances, coldSends, service -> 1);
+    ColdServerQuotas coldServers = new ColdServerQuotas(settings, time.clocks(), routes, instances);
+    quotas = new ServerQuotas(settings, time.clocks(), instances, coldServers, service -> 1);
     server = new ServerState(Servers.entry("a", false), time.read());
   }
 
--- a/front/src/test/java/org/magnoliaswitch/front/process/StateSyncTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/StateSyncTest.java
@@ -94,7 +94,7 @@
       FrontSettings settings = TestEnvironment.settings(at(peersPort), seeds, repeats);
       AtomicReference<RouteTable> routes = new AtomicReference<>(RouteTable.EMPTY);
       InstanceCount instances = new InstanceCount(1, clocks);
-      ColdSends coldSends = new ColdSends(settings, clocks, routes, instances);
+      ColdServerQuotas coldServers = new ColdServerQuotas(settings, clocks, routes, instances);
       ServerDirectory servers =
           new ServerDirectory(
               new ServerConnector(requests, clocks, NAMES),
@@ -102,7 +102,7 @@
               log,
               settings,
               instances,
-              coldSends);
+              coldServers);
       FrontMetrics metrics = new FrontMetrics();
       environment =
           new Environment(
@@ -116,7 +116,7 @@
               servers,
               new RouteState(random, repeats),
               instances,
-              new SendQuotas(settings, clocks, instances, coldSends, servers::part),
+              new ServerQuotas(settings, clocks, instances, coldServers, servers::subsetShare),
               new ServerNotices(servers, clocks, log, metrics),
               log,
               metrics,
--- a/front/src/test/java/org/magnoliaswitch/front/testing/TestEnvironment.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/TestEnvironment.java
@@ -14,7 +14,7 @@
 import org.magnoliaswitch.front.load.Mechanisms;
 import org.magnoliaswitch.front.load.SharedRetryBudget;
 import org.magnoliaswitch.front.loop.Loop;
-import org.magnoliaswitch.front.process.ColdSends;
+import org.magnoliaswitch.front.process.ColdServerQuotas;
 import org.magnoliaswitch.front.process.Environment;
 import org.magnoliaswitch.front.process.EventLog;
 import org.magnoliaswitch.front.process.Freshness;
@@ -22,9 +22,9 @@
 import org.magnoliaswitch.front.process.FrontSettings;
 import org.magnoliaswitch.front.process.InstanceCount;
 import org.magnoliaswitch.front.process.RouteState;
-import org.magnoliaswitch.front.process.SendQuotas;
 import org.magnoliaswitch.front.process.ServerDirectory;
 import org.magnoliaswitch.front.process.ServerNotices;
+import org.magnoliaswitch.front.process.ServerQuotas;
 import org.magnoliaswitch.front.version.CallerLimits;
 import org.magnoliaswitch.front.version.HeaderNames;
 import org.magnoliaswitch.front.version.Route;
@@ -54,10 +54,15 @@
     FrontSettings settings = settings();
     AtomicReference<RouteTable> routes = new AtomicReference<>(RouteTable.EMPTY);
     InstanceCount instances = new InstanceCount(1, clocks);
-    ColdSends coldSends = new ColdSends(settings, clocks, routes, instances);
+    ColdServerQuotas coldServers = new ColdServerQuotas(settings, clocks, routes, instances);
     ServerDirectory servers =
         new ServerDirectory(
-            new ServerConnector(loop, clocks, names), clocks, log, settings, instances, coldSends);
+            new ServerConnector(loop, clocks, names),
+            clocks,
+            log,
+            settings,
+            instances,
+            coldServers);
     return new Environment(
         settings,
         names,
@@ -67,9 +72,9 @@
         routes,
         new Freshness(),
         servers,
-        new RouteState(random, settings.repeats()),
+        new RouteState(random, settings.retryBudget()),
         instances,
-        new SendQuotas(settings, clocks, instances, coldSends, servers::part),
+        new ServerQuotas(settings, clocks, instances, coldServers, servers::subsetShare),
         new ServerNotices(servers, clocks, log, metrics),
         log,
         metrics,
