--- a/bench/src/main/java/org/magnoliaswitch/bench/model/Kind.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/Kind.java
@@ -94,6 +94,6 @@
   }
 
   String service() {
-    return route.parts().getFirst().service();
+    return route.services().getFirst().service();
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/load/ColdShare.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/ColdShare.java
@@ -37,7 +37,7 @@
 
     /** Requests in any second that all instances together may plan with. */
     double plannedPerSecond(Warmup warmup) {
-      return excess * warmup.perSecond() + SLACK_SHARE * slack;
+      return excess * warmup.requestsPerSecond() + SLACK_SHARE * slack;
     }
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/peer/RouteExtrasCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/RouteExtrasCodec.java
@@ -28,8 +28,8 @@
     out.packArrayHeader(limited.size());
     for (ServicePolicy service : limited) {
       out.packString(service.name());
-      out.packLong(service.warmup().spanNanos());
-      out.packDouble(service.warmup().perSecond());
+      out.packLong(service.warmup().durationNanos());
+      out.packDouble(service.warmup().requestsPerSecond());
     }
     List<Route> bound =
         table.routes().stream().filter(route -> !route.regions().isEmpty()).toList();
@@ -54,11 +54,13 @@
       regions.put(in.unpackString(), readRegions(in));
     }
     List<Route> routes = new ArrayList<>();
-    table.routes().forEach(r -> routes.add(r.within(regions.getOrDefault(r.name(), Set.of()))));
+    table
+        .routes()
+        .forEach(r -> routes.add(r.withRegions(regions.getOrDefault(r.name(), Set.of()))));
     List<ServicePolicy> services = new ArrayList<>();
     table
         .services()
-        .forEach(s -> services.add(s.with(warmups.getOrDefault(s.name(), Warmup.UNLIMITED))));
+        .forEach(s -> services.add(s.withWarmup(warmups.getOrDefault(s.name(), Warmup.UNLIMITED))));
     return new RouteTable(table.version(), routes, services, table.limits());
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/peer/RouteTableCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/RouteTableCodec.java
@@ -61,8 +61,8 @@
     out.packLong(route.objectiveNanos());
     out.packInt(route.priority());
     out.packInt(route.maxServers());
-    out.packArrayHeader(route.parts().size());
-    for (WeightedService part : route.parts()) {
+    out.packArrayHeader(route.services().size());
+    for (WeightedService part : route.services()) {
       out.packString(part.service());
       out.packDouble(part.weight());
     }
--- a/front/src/main/java/org/magnoliaswitch/front/peer/RouteUpdateCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/RouteUpdateCodec.java
@@ -58,7 +58,7 @@
     try (MessageUnpacker body =
         MessagePack.newDefaultUnpacker(compressed ? Compression.inflated(sent) : sent)) {
       return switch (kind) {
-        case WHOLE -> Optional.of(new RouteUpdate.Whole(readTable(body)));
+        case WHOLE -> Optional.of(new RouteUpdate.Full(readTable(body)));
         case CHANGES -> Optional.of(new RouteUpdate.Changes(readChanges(body)));
         default -> Optional.empty();
       };
@@ -67,7 +67,7 @@
 
   private static int kind(RouteUpdate update) {
     return switch (update) {
-      case RouteUpdate.Whole whole -> WHOLE;
+      case RouteUpdate.Full full -> WHOLE;
       case RouteUpdate.Changes changes -> CHANGES;
     };
   }
@@ -75,7 +75,7 @@
   private static byte[] body(RouteUpdate update) throws IOException {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       switch (update) {
-        case RouteUpdate.Whole whole -> writeTable(out, whole.table());
+        case RouteUpdate.Full full -> writeTable(out, full.table());
         case RouteUpdate.Changes changes -> writeChanges(out, changes.changes());
       }
       return out.toByteArray();
--- a/front/src/main/java/org/magnoliaswitch/front/process/ColdServerQuotas.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ColdServerQuotas.java
@@ -33,7 +33,7 @@
 
   /** How long servers of a service stay cold. */
   long spanNanos(String service) {
-    return routes.get().warmup(service).spanNanos();
+    return routes.get().warmup(service).durationNanos();
   }
 
   /** Whether this instance is one of those that send to a server while it is cold. */
--- a/front/src/main/java/org/magnoliaswitch/front/process/RouteState.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/RouteState.java
@@ -25,12 +25,12 @@
 
   /** The service that a route's next request goes to. */
   public String pick(Route route) {
-    if (route.parts().size() == 1) {
-      return route.parts().getFirst().service();
+    if (route.services().size() == 1) {
+      return route.services().getFirst().service();
     }
     return pickers
         .computeIfAbsent(route.name(), name -> new PartPicker(random.nextDouble()))
-        .next(route.parts());
+        .next(route.services());
   }
 
   /**
--- a/front/src/main/java/org/magnoliaswitch/front/process/StateSync.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StateSync.java
@@ -210,7 +210,7 @@
   private PeerNews known(long version) {
     RouteTable routes = knownState.routes();
     Optional<RouteUpdate> update =
-        version < routes.version() ? Optional.of(new RouteUpdate.Whole(routes)) : Optional.empty();
+        version < routes.version() ? Optional.of(new RouteUpdate.Full(routes)) : Optional.empty();
     return new PeerNews(
         reader.ageMillis(),
         environment.instances().count(),
--- a/front/src/main/java/org/magnoliaswitch/front/version/Route.java
+++ b/front/src/main/java/org/magnoliaswitch/front/version/Route.java
@@ -14,7 +14,7 @@
  * @param objectiveNanos latency up to which an answer has its full value
  * @param priority rank among routes; 0 is the most urgent
  * @param maxServers most backend servers that one request is sent to
- * @param parts services that share the route's traffic; never empty
+ * @param services services that share the route's traffic; never empty
  * @param regions the only regions whose servers may get its requests; empty if all may
  */
 public record Route(
@@ -26,12 +26,12 @@
     long objectiveNanos,
     int priority,
     int maxServers,
-    List<WeightedService> parts,
+    List<WeightedService> services,
     Set<String> regions) {
   public Route {
-    parts = List.copyOf(parts);
+    services = List.copyOf(services);
     regions = Set.copyOf(regions);
-    if (parts.isEmpty()) {
+    if (services.isEmpty()) {
       throw new IllegalArgumentException("route " + name + " has no service");
     }
   }
@@ -46,7 +46,7 @@
       long objectiveNanos,
       int priority,
       int maxServers,
-      List<WeightedService> parts) {
+      List<WeightedService> services) {
     this(
         name,
         host,
@@ -56,12 +56,12 @@
         objectiveNanos,
         priority,
         maxServers,
-        parts,
+        services,
         Set.of());
   }
 
   /** The same route for servers in some regions only. */
-  public Route within(Set<String> next) {
+  public Route withRegions(Set<String> next) {
     return new Route(
         name,
         host,
@@ -71,7 +71,7 @@
         objectiveNanos,
         priority,
         maxServers,
-        parts,
+        services,
         next);
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/version/RouteHistory.java
+++ b/front/src/main/java/org/magnoliaswitch/front/version/RouteHistory.java
@@ -59,6 +59,6 @@
         return new RouteUpdate.Changes(RouteChanges.of(version, newest, names));
       }
     }
-    return new RouteUpdate.Whole(newest);
+    return new RouteUpdate.Full(newest);
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/version/RouteUpdate.java
+++ b/front/src/main/java/org/magnoliaswitch/front/version/RouteUpdate.java
@@ -8,7 +8,7 @@
   long version();
 
   /** The whole configuration. */
-  record Whole(RouteTable table) implements RouteUpdate {
+  record Full(RouteTable table) implements RouteUpdate {
     @Override
     public long version() {
       return table.version();
@@ -26,7 +26,7 @@
   /** The version that it leads to; absent if it does not apply to the given one. */
   default Optional<RouteTable> applyTo(RouteTable current) {
     return switch (this) {
-      case Whole whole -> Optional.of(whole.table());
+      case Full full -> Optional.of(full.table());
       case Changes changes -> changes.changes().applyTo(current);
     };
   }
--- a/front/src/main/java/org/magnoliaswitch/front/version/ServicePolicy.java
+++ b/front/src/main/java/org/magnoliaswitch/front/version/ServicePolicy.java
@@ -10,7 +10,7 @@
  */
 public record ServicePolicy(String name, String healthPath, int maxConnections, Warmup warmup) {
   /** The same service with a warm-up. */
-  public ServicePolicy with(Warmup next) {
+  public ServicePolicy withWarmup(Warmup next) {
     return new ServicePolicy(name, healthPath, maxConnections, next);
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/peer/RouteUpdateCodecTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/RouteUpdateCodecTest.java
@@ -81,7 +81,7 @@
       routes.add(route("r" + Integer.toHexString(i * 0x9E3779B9)));
     }
     RouteTable table = new RouteTable(9, routes, SERVICES, CallerLimits.DEFAULT);
-    RouteUpdate whole = new RouteUpdate.Whole(table);
+    RouteUpdate whole = new RouteUpdate.Full(table);
     RouteTable read = roundTrip(whole).applyTo(RouteTable.EMPTY).orElseThrow();
     assertEquals(new HashSet<>(read.routes()), new HashSet<>(routes));
     assertEquals(List.copyOf(read.services()), SERVICES);
@@ -95,7 +95,7 @@
       routes.add(route("r" + i));
     }
     RouteTable table = new RouteTable(9, routes, SERVICES, CallerLimits.DEFAULT);
-    byte[] good = PeerNewsCodec.encode(news(new RouteUpdate.Whole(table)));
+    byte[] good = PeerNewsCodec.encode(news(new RouteUpdate.Full(table)));
     DamagedBytes.areReadOrRefused(good, 8, PeerNewsCodec::decode);
   }
 
--- a/front/src/test/java/org/magnoliaswitch/front/request/EvacuationTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/EvacuationTest.java
@@ -153,7 +153,8 @@
   @Test
   public void aRouteOfAnotherRegionGoesToNoServerHere() throws IOException {
     try (ScriptedServer server = new ScriptedServer("a", WELL)) {
-      Environment environment = TestEnvironment.with(READ.within(Set.of("other region")), server);
+      Environment environment =
+          TestEnvironment.with(READ.withRegions(Set.of("other region")), server);
       assertEquals(Requests.ask(environment).join().status().code(), 503);
       assertEquals(server.received().size(), 0);
       environment.loop().stop();
--- a/front/src/test/java/org/magnoliaswitch/front/version/RouteHistoryTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/version/RouteHistoryTest.java
@@ -105,8 +105,8 @@
     public void theWholeConfigurationIsSent() {
       RouteTable last = table(9, route("a", "1"));
       RouteHistory history = history(table(3, route("a", "1")), last);
-      assertEquals(history.since(5), new RouteUpdate.Whole(last));
-      assertEquals(history.since(0), new RouteUpdate.Whole(last));
+      assertEquals(history.since(5), new RouteUpdate.Full(last));
+      assertEquals(history.since(0), new RouteUpdate.Full(last));
       assertSame(history.since(5).applyTo(table(5, route("a", "2"))).orElseThrow(), last);
     }
 
--- a/front/src/test/java/org/magnoliaswitch/front/version/RouteTableTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/version/RouteTableTest.java
@@ -9,8 +9,8 @@
 /** Which route covers a request. */
 public final class RouteTableTest {
   private static Route route(String name, String host, String prefix) {
-    List<WeightedService> parts = List.of(new WeightedService("s", 1));
-    return new Route(name, host, prefix, true, 1, 1, 0, 1, parts);
+    List<WeightedService> services = List.of(new WeightedService("s", 1));
+    return new Route(name, host, prefix, true, 1, 1, 0, 1, services);
   }
 
   private final RouteTable table =
