--- a/front/src/main/java/org/magnoliaswitch/front/process/DiscoveryKeeper.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/DiscoveryReconciler.java
@@ -15,7 +15,7 @@
  * missing then are kept until the living ones had time to come back; one still missing after that
  * is gone. In ordinary times a missing entry is gone at once.
  */
-public final class DiscoveryKeeper {
+public final class DiscoveryReconciler {
   /** Entries of living servers are back within two seconds of the store's return. */
   static final long COME_BACK_NANOS = TimeUnit.MILLISECONDS.toNanos(2_200);
 
--- a/front/src/main/java/org/magnoliaswitch/front/process/StatePoller.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StatePoller.java
@@ -41,7 +41,7 @@
   private final Listener listener;
   private final BooleanSupplier hearsPeers;
   private final CrashArchive archive;
-  private final DiscoveryKeeper keeper = new DiscoveryKeeper();
+  private final DiscoveryReconciler keeper = new DiscoveryReconciler();
   private final Freshness operatorState;
   private final Freshness servers = new Freshness();
   private final long startedNanos;
--- a/front/src/test/java/org/magnoliaswitch/front/process/DiscoveryKeeperTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/DiscoveryReconcilerTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.Test;
 
 /** Which servers exist after reads that fail. */
-public final class DiscoveryKeeperTest {
+public final class DiscoveryReconcilerTest {
   private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
   private static ServerList list(long version, String... ids) {
@@ -24,7 +24,7 @@
     return new ServerList(version, servers);
   }
 
-  private static Set<String> read(DiscoveryKeeper keeper, long now, ServerList list) {
+  private static Set<String> read(DiscoveryReconciler keeper, long now, ServerList list) {
     return keeper.read(list, now).servers().keySet();
   }
 
@@ -32,7 +32,7 @@
   public static final class Ordinary {
     @Test
     public void aMissingEntryIsGoneAtOnce() {
-      DiscoveryKeeper keeper = new DiscoveryKeeper();
+      DiscoveryReconciler keeper = new DiscoveryReconciler();
       read(keeper, 0, list(1, "a", "b"));
       assertEquals(read(keeper, SECOND, list(2, "a")), Set.of("a"));
     }
@@ -47,7 +47,7 @@
     /** The old process writes once more after the new one has registered. */
     @Test
     public void aLaterIncarnationIsNotReplacedByAnEarlierOne() {
-      DiscoveryKeeper keeper = new DiscoveryKeeper();
+      DiscoveryReconciler keeper = new DiscoveryReconciler();
       ServerEntry later = Servers.restarted(Servers.entry("a", false));
       keeper.read(list(1, later), 0);
       ServerList read = keeper.read(list(2, Servers.entry("a", true)), SECOND);
@@ -59,7 +59,7 @@
      */
     @Test
     public void afterAnOutageTheNewIncarnationIsBelieved() {
-      DiscoveryKeeper keeper = new DiscoveryKeeper();
+      DiscoveryReconciler keeper = new DiscoveryReconciler();
       keeper.read(list(1, Servers.entry("a", false)), 0);
       keeper.failed();
       ServerEntry later = Servers.restarted(Servers.entry("a", false));
@@ -75,7 +75,7 @@
      */
     @Test
     public void lapsedEntriesAreKeptUntilTheyHadTimeToComeBack() {
-      DiscoveryKeeper keeper = new DiscoveryKeeper();
+      DiscoveryReconciler keeper = new DiscoveryReconciler();
       read(keeper, 0, list(1, "a", "b"));
       keeper.failed();
       assertEquals(read(keeper, 10 * SECOND, list(9)), Set.of("a", "b"));
@@ -90,7 +90,7 @@
      */
     @Test
     public void theListWithoutKeptEntriesIsNewerThoughTheStoreIsQuiet() {
-      DiscoveryKeeper keeper = new DiscoveryKeeper();
+      DiscoveryReconciler keeper = new DiscoveryReconciler();
       read(keeper, 0, list(1, "a", "b"));
       keeper.failed();
       long kept = keeper.read(list(9, "a"), 10 * SECOND).version();
@@ -100,7 +100,7 @@
 
     @Test
     public void aServerThatWasLeavingStaysGone() {
-      DiscoveryKeeper keeper = new DiscoveryKeeper();
+      DiscoveryReconciler keeper = new DiscoveryReconciler();
       read(keeper, 0, list(1, "a", "draining-b"));
       keeper.failed();
       assertEquals(read(keeper, 10 * SECOND, list(9)), Set.of("a"));
@@ -113,15 +113,15 @@
      */
     @Test
     public void aReadIsDueWhenTheKeepingEnds() {
-      DiscoveryKeeper keeper = new DiscoveryKeeper();
+      DiscoveryReconciler keeper = new DiscoveryReconciler();
       assertTrue(keeper.untilReleaseNanos(0).isEmpty());
       read(keeper, 0, list(1, "a", "b"));
       keeper.failed();
       read(keeper, 10 * SECOND, list(9, "a"));
       assertEquals(
           keeper.untilReleaseNanos(11 * SECOND).orElseThrow(),
-          DiscoveryKeeper.COME_BACK_NANOS - SECOND);
-      long end = 10 * SECOND + DiscoveryKeeper.COME_BACK_NANOS;
+          DiscoveryReconciler.COME_BACK_NANOS - SECOND);
+      long end = 10 * SECOND + DiscoveryReconciler.COME_BACK_NANOS;
       assertEquals(keeper.untilReleaseNanos(end + 1).orElseThrow(), 0);
       assertEquals(read(keeper, end, list(9, "a")), Set.of("a"));
       assertTrue(keeper.untilReleaseNanos(end).isEmpty());
@@ -130,7 +130,7 @@
     /** A peer that reads the store has told its list: this instance need not read as well. */
     @Test
     public void noReadIsDueOnceAPeerHasTold() {
-      DiscoveryKeeper keeper = new DiscoveryKeeper();
+      DiscoveryReconciler keeper = new DiscoveryReconciler();
       read(keeper, 0, list(1, "a", "b"));
       keeper.failed();
       read(keeper, 10 * SECOND, list(9, "a"));
@@ -140,7 +140,7 @@
 
     @Test
     public void aLongGapBetweenReadsCountsAsAnOutage() {
-      DiscoveryKeeper keeper = new DiscoveryKeeper();
+      DiscoveryReconciler keeper = new DiscoveryReconciler();
       read(keeper, 0, list(1, "a"));
       assertEquals(read(keeper, 60 * SECOND, list(9)), Set.of("a"));
     }
