--- a/front/src/main/java/org/magnoliaswitch/front/process/BackpressureMemory.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/BackpressureMemory.java
@@ -6,27 +6,30 @@
 import org.magnoliaswitch.front.version.ServerEntry;
 
 /**
- * What servers asked of their callers before discovery dropped them; used by one thread.
+ * Keeps the backpressure of servers that discovery no longer lists; used by one thread.
  *
- * <p>An entry lapses while the platform is away and comes back afterwards. The server is the same
- * one, and what it asked for still holds.
+ * <p>An entry expires while the platform is unavailable and reappears afterwards. It is the same
+ * incarnation of the server, so the limits and pauses that it requested still apply.
  */
 final class BackpressureMemory {
-  private static final int MOST_KEPT = 1_000;
+  private static final int MAX_ENTRIES = 1_000;
 
   private final LinkedHashMap<String, Backpressure> byIncarnation = new LinkedHashMap<>();
 
-  /** Keeps what a server that is no longer listed has asked for. */
-  void keep(ServerState server) {
+  /** Stores the backpressure of a server that is no longer listed. */
+  void store(ServerState server) {
     byIncarnation.putLast(server.entry().incarnation(), server.backpressure());
-    if (byIncarnation.size() > MOST_KEPT) {
+    if (byIncarnation.size() > MAX_ENTRIES) {
       byIncarnation.pollFirstEntry();
     }
   }
 
-  /** What a server that has just been listed asked for before, if it was known. */
-  Backpressure of(ServerEntry entry) {
-    Backpressure known = byIncarnation.remove(entry.incarnation());
-    return known == null ? new Backpressure() : known;
+  /**
+   * Removes and returns the stored backpressure of a newly listed server, or a new one without
+   * limits if none is stored.
+   */
+  Backpressure take(ServerEntry entry) {
+    Backpressure stored = byIncarnation.remove(entry.incarnation());
+    return stored == null ? new Backpressure() : stored;
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/ColdServerQuotas.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ColdServerQuotas.java
@@ -8,16 +8,18 @@
 import org.magnoliaswitch.front.version.RouteTable;
 import org.magnoliaswitch.front.version.Warmup;
 
-/** What this instance may send to servers whose caches are cold; used by one thread. */
+/** Limits the requests of this instance to servers whose caches are cold; used by one thread. */
 public final class ColdServerQuotas {
   private final FrontSettings settings;
   private final Clocks clocks;
   private final AtomicReference<RouteTable> routes;
   private final InstanceCount instances;
-  private final ShareCache<Cold, ColdShare> shares;
+  private final ShareCache<ColdServer, ColdShare> shares;
 
-  /** A server and what its service's servers bear while they are cold. */
-  private record Cold(String incarnation, Warmup warmup) {}
+  /**
+   * What a share depends on: the incarnation of the server and the warm-up limits of its service.
+   */
+  private record ColdServer(String incarnation, Warmup warmup) {}
 
   public ColdServerQuotas(
       FrontSettings settings,
@@ -31,39 +33,42 @@
     this.shares = new ShareCache<>(instances, this::share);
   }
 
-  /** How long servers of a service stay cold. */
-  long spanNanos(String service) {
+  /** Returns how long a server of the service stays cold after it has started. */
+  long warmupNanos(String service) {
     return routes.get().warmup(service).durationNanos();
   }
 
-  /** Whether this instance is one of those that send to a server while it is cold. */
-  public boolean drawn(ServerState server) {
+  /** Whether this instance is selected as one of the senders to a server while it is cold. */
+  public boolean selected(ServerState server) {
     return share(server).mostPerSecond() > 0;
   }
 
-  /** Whether a request may be sent to a server now, as far as its caches decide it. */
+  /** Whether the warm-up limits of a server permit a request now. */
   public boolean allowed(ServerState server) {
     long now = clocks.nanos();
     if (!server.cold(now)) {
       return true;
     }
     boolean limited = routes.get().warmup(server.entry().service()).limited();
-    // An instance that knows of few others would take far too large a share.
+    // An instance that knows only a few others yet would compute far too large a share.
     return (!limited || instances.settled()) && server.bears(share(server), now);
   }
 
-  /** A connection could not be opened: whoever listens there next may have started anew. */
-  public void unreachable(ServerState server) {
-    server.assumeCold(spanNanos(server.entry().service()), clocks.nanos());
+  /**
+   * Treats a server to which no connection could be opened as cold: the process that listens there
+   * next may have just started.
+   */
+  public void assumeCold(ServerState server) {
+    server.assumeCold(warmupNanos(server.entry().service()), clocks.nanos());
   }
 
   private ColdShare share(ServerState server) {
     Warmup warmup = routes.get().warmup(server.entry().service());
-    return shares.of(new Cold(server.entry().incarnation(), warmup));
+    return shares.get(new ColdServer(server.entry().incarnation(), warmup));
   }
 
-  private ColdShare share(Cold cold) {
-    SenderDraw draw = instances.draw(settings.instance(), cold.incarnation());
-    return ColdShare.of(cold.warmup(), settings.coldServerBounds(), draw);
+  private ColdShare share(ColdServer server) {
+    SenderDraw draw = instances.draw(settings.instance(), server.incarnation());
+    return ColdShare.of(server.warmup(), settings.coldServerBounds(), draw);
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/CrashArchive.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/CrashArchive.java
@@ -16,27 +16,33 @@
 import org.magnoliaswitch.front.loop.Loop;
 
 /**
- * Keeps ends of servers under requests in the store, so that they outlast a loss of all instances
- * and reach instances that hear no peers. Runs on the control loop.
+ * Keeps server crashes and the requests that were in progress in the store, so that they outlast
+ * the loss of all instances and reach instances without peers. Runs on the control loop.
  *
- * <p>Most requests under which a server ends are bystanders that a second server answers within a
- * moment. A first end is written only when it still counts after that moment, so an ordinary crash
- * costs no call.
+ * <p>Most requests that are in progress when a server crashes are bystanders, which a second server
+ * answers shortly afterwards. A first crash is written only if it still counts after that time, so
+ * an ordinary crash costs no call to the store.
  */
 final class CrashArchive {
-  /** A bystander's second send is answered within this time; what still counts is written. */
+  /**
+   * A bystander's second attempt is answered within this time; crashes that still count afterwards
+   * are written.
+   */
   private static final long WRITE_DELAY_MILLIS = 300;
 
-  /** Wait after a write that was not confirmed. */
+  /** Delay before an unconfirmed write is repeated. */
   private static final long RETRY_MILLIS = 1_000;
 
-  /** Ends of one write; the store takes a hundred entries a call. */
+  /** Maximum number of crashes in one write; the store accepts a hundred entries per call. */
   private static final int MAX_ENTRIES = 100;
 
-  /** Ends that wait to be written; of a flood the first ones are as good as all. */
+  /**
+   * Maximum number of crashes that wait to be written; of a flood of crashes, the first ones are as
+   * useful as all.
+   */
   private static final int MAX_PENDING = 500;
 
-  /** A row that is older than this is removed: suspects are forgotten after a day. */
+  /** Rows older than this are removed: suspicions expire after a day. */
   private static final long MAX_AGE_MILLIS = TimeUnit.DAYS.toMillis(1);
 
   private final CrashStore store;
@@ -45,43 +51,47 @@
   private final Clocks clocks;
   private final EventLog log;
   private final FrontMetrics metrics;
-  private final BooleanSupplier toldByPeers;
-  private final Set<End> pending = new LinkedHashSet<>();
+  private final BooleanSupplier receivesFromPeers;
+  private final Set<CrashKey> pending = new LinkedHashSet<>();
 
-  /** What the last read found. Own writes are no part of it: a read may have passed one. */
-  private final Set<End> found = new HashSet<>();
+  /**
+   * Crashes that the last read returned. Own writes are not included, since a read may have
+   * overtaken one.
+   */
+  private final Set<CrashKey> found = new HashSet<>();
 
   private boolean writing;
   private boolean reading;
   private boolean readOnce;
 
-  /** One end, whoever reported it. */
-  private record End(RequestIdentity request, String server) {
-    static End of(CrashReport.Ended ended) {
-      return new End(ended.request(), ended.server());
+  /** Identifies a crash regardless of the instance that reported it. */
+  private record CrashKey(RequestIdentity request, String server) {
+    static CrashKey of(CrashReport.Ended ended) {
+      return new CrashKey(ended.request(), ended.server());
     }
   }
 
   /**
-   * Creates one.
+   * Creates an archive without pending writes.
    *
-   * @param toldByPeers whether other instances tell what they know
+   * @param receivesFromPeers whether other instances currently send their state to this one
    */
-  CrashArchive(CrashStore store, Environment environment, Loop loop, BooleanSupplier toldByPeers) {
+  CrashArchive(
+      CrashStore store, Environment environment, Loop loop, BooleanSupplier receivesFromPeers) {
     this.store = store;
     this.watch = environment.crashes();
     this.loop = loop;
     this.clocks = environment.clocks();
     this.log = environment.log();
     this.metrics = environment.metrics();
-    this.toldByPeers = toldByPeers;
+    this.receivesFromPeers = receivesFromPeers;
   }
 
-  /** Takes reports of this instance. */
-  void own(List<CrashReport> reports) {
+  /** Queues the crashes that this instance has observed for writing. */
+  void recordOwn(List<CrashReport> reports) {
     for (CrashReport report : reports) {
       if (report instanceof CrashReport.Ended ended && pending.size() < MAX_PENDING) {
-        pending.add(End.of(ended));
+        pending.add(CrashKey.of(ended));
         boolean suspect = watch.table().standing(ended.request()) != SuspicionLevel.UNSUSPECTED;
         loop.afterMillis(suspect ? 0 : WRITE_DELAY_MILLIS, this::write);
       }
@@ -89,11 +99,11 @@
   }
 
   /**
-   * Reads what is kept, whenever this instance reads the platform itself. Right after a start its
-   * callers wait, and peers tell it all they know.
+   * Reads the stored crashes; called whenever this instance reads the platform itself. Right after
+   * the start the read is skipped if peers send their state anyway, since callers are waiting then.
    */
   void read() {
-    boolean skipped = !readOnce && toldByPeers.getAsBoolean();
+    boolean skipped = !readOnce && receivesFromPeers.getAsBoolean();
     readOnce = true;
     if (!skipped && !reading) {
       reading = true;
@@ -104,65 +114,68 @@
   private void read(StateSource.Read<List<CrashStore.StoredCrash>> read) {
     reading = false;
     switch (read) {
-      case StateSource.Read.Known<List<CrashStore.StoredCrash>> known -> take(known.value());
+      case StateSource.Read.Known<List<CrashStore.StoredCrash>> known -> apply(known.value());
       case StateSource.Read.Unchanged<List<CrashStore.StoredCrash>> unchanged -> {
-        // Nothing to take.
+        // The stored crashes are the same as at the last read.
       }
       case StateSource.Read.Failed<List<CrashStore.StoredCrash>> failed ->
           metrics.count("crash.store.calls", "", failed.reason());
     }
   }
 
-  private void take(List<CrashStore.StoredCrash> rows) {
+  private void apply(List<CrashStore.StoredCrash> rows) {
     long now = clocks.millis();
-    List<CrashReport> counting = new ArrayList<>();
-    List<CrashReport.Ended> outdated = new ArrayList<>();
-    Set<End> foundNow = new HashSet<>();
+    List<CrashReport> current = new ArrayList<>();
+    List<CrashReport.Ended> removable = new ArrayList<>();
+    Set<CrashKey> foundNow = new HashSet<>();
     for (CrashStore.StoredCrash row : rows) {
       CrashReport.Ended ended = row.ended();
-      boolean old = now - row.epochMillis() > MAX_AGE_MILLIS;
-      if (old || watch.table().cleared(ended.request(), ended.server())) {
-        outdated.add(ended);
+      boolean expired = now - row.epochMillis() > MAX_AGE_MILLIS;
+      if (expired || watch.table().cleared(ended.request(), ended.server())) {
+        removable.add(ended);
       } else {
-        foundNow.add(End.of(ended));
-        counting.add(ended);
+        foundNow.add(CrashKey.of(ended));
+        current.add(ended);
       }
     }
-    List<CrashReport> lifted = lifted(foundNow);
+    List<CrashReport> cleared = cleared(foundNow);
     found.clear();
     found.addAll(foundNow);
-    watch.heard(counting, CrashWatch.Source.STORE);
-    watch.heard(lifted, CrashWatch.Source.STORE);
-    if (!outdated.isEmpty() && !writing) {
-      change(List.of(), outdated);
+    watch.heard(current, CrashWatch.Source.STORE);
+    watch.heard(cleared, CrashWatch.Source.STORE);
+    if (!removable.isEmpty() && !writing) {
+      change(List.of(), removable);
     }
   }
 
-  /** Rows that were there before and are not any more: an operator lifts a suspicion so. */
-  private List<CrashReport> lifted(Set<End> foundNow) {
-    Set<RequestIdentity> gone = new HashSet<>();
-    for (End end : found) {
-      boolean counts = watch.table().end(end.request(), end.server()).isPresent();
-      if (!foundNow.contains(end) && counts) {
-        gone.add(end.request());
+  /**
+   * Returns clearances for requests whose rows have disappeared since the last read: an operator
+   * clears a suspicion by removing its rows.
+   */
+  private List<CrashReport> cleared(Set<CrashKey> foundNow) {
+    Set<RequestIdentity> clearedRequests = new HashSet<>();
+    for (CrashKey key : found) {
+      boolean counts = watch.table().end(key.request(), key.server()).isPresent();
+      if (!foundNow.contains(key) && counts) {
+        clearedRequests.add(key.request());
       }
     }
-    return gone.stream().map(watch.table()::clearanceOf).toList();
+    return clearedRequests.stream().map(watch.table()::clearanceOf).toList();
   }
 
   private void write() {
-    List<CrashReport.Ended> puts = writing ? List.of() : stillCounting();
+    List<CrashReport.Ended> puts = writing ? List.of() : crashesToWrite();
     if (!puts.isEmpty()) {
       change(puts, List.of());
     }
   }
 
-  private List<CrashReport.Ended> stillCounting() {
+  private List<CrashReport.Ended> crashesToWrite() {
     List<CrashReport.Ended> puts = new ArrayList<>();
-    for (End end : List.copyOf(pending)) {
-      Optional<CrashReport.Ended> counts = watch.table().end(end.request(), end.server());
+    for (CrashKey key : List.copyOf(pending)) {
+      Optional<CrashReport.Ended> counts = watch.table().end(key.request(), key.server());
       if (counts.isEmpty()) {
-        pending.remove(end);
+        pending.remove(key);
       } else if (puts.size() < MAX_ENTRIES) {
         puts.add(counts.get());
       }
@@ -185,7 +198,7 @@
         .add("confirmed", String.valueOf(confirmed))
         .write();
     if (confirmed) {
-      puts.forEach(ended -> pending.remove(End.of(ended)));
+      puts.forEach(ended -> pending.remove(CrashKey.of(ended)));
     }
     if (!pending.isEmpty()) {
       loop.afterMillis(confirmed ? 0 : RETRY_MILLIS, this::write);
--- a/front/src/main/java/org/magnoliaswitch/front/process/CrashLog.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/CrashLog.java
@@ -5,38 +5,39 @@
 import org.magnoliaswitch.core.crash.SuspicionLevel;
 import org.magnoliaswitch.core.process.CrashWatch;
 
-/** Tells and counts what becomes known of requests under which servers end. */
+/** Logs and counts changes in the suspicion level of requests during which servers crash. */
 public final class CrashLog implements CrashWatch.Listener {
   private final EventLog log;
   private final FrontMetrics metrics;
 
-  /** Tells of what a watch learns from now on. */
+  /** Subscribes to a watch and logs its changes from now on. */
   public CrashLog(CrashWatch watch, EventLog log, FrontMetrics metrics) {
     this.log = log;
     this.metrics = metrics;
     for (SuspicionLevel standing : List.of(SuspicionLevel.SUSPECT, SuspicionLevel.CONFIRMED)) {
-      metrics.gauge("crash." + word(standing) + ".requests", () -> watch.table().count(standing));
+      metrics.gauge(
+          "crash." + lowerCaseName(standing) + ".requests", () -> watch.table().count(standing));
     }
     watch.listen(this);
   }
 
   @Override
   public void learnt(CrashWatch.Lesson lesson) {
-    lesson.changes().forEach(change -> tell(change, lesson.source()));
+    lesson.changes().forEach(change -> logChange(change, lesson.source()));
   }
 
-  private void tell(CrashWatch.Change change, CrashWatch.Source source) {
-    metrics.count("crash.standings", "", word(change.standing()));
+  private void logChange(CrashWatch.Change change, CrashWatch.Source source) {
+    metrics.count("crash.standings", "", lowerCaseName(change.standing()));
     log.stateChange("crash_standing")
         .add("identity", change.request().toString())
-        .add("standing", word(change.standing()))
+        .add("standing", lowerCaseName(change.standing()))
         .add("ends", change.ends().size())
         .add("servers", String.join("/", change.ends()))
-        .add("source", word(source))
+        .add("source", lowerCaseName(source))
         .write();
   }
 
-  private static String word(Enum<?> value) {
+  private static String lowerCaseName(Enum<?> value) {
     return value.name().toLowerCase(Locale.ROOT);
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/CrashStore.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/CrashStore.java
@@ -6,11 +6,11 @@
 import org.magnoliaswitch.core.crash.CrashReport;
 
 /**
- * Where ends of servers under requests outlast the instances that saw them; callbacks run on the
- * control event loop.
+ * Persistent store for server crashes and the requests that were in progress, which outlasts the
+ * instances that observed them. Callbacks run on the control event loop.
  */
 public interface CrashStore {
-  /** Keeps nothing; for a platform without a place for it. */
+  /** Stores nothing; for platforms that have no storage for crashes. */
   CrashStore NONE =
       new CrashStore() {
         @Override
@@ -28,18 +28,19 @@
       };
 
   /**
-   * An end as it is kept.
+   * A stored crash.
    *
-   * @param epochMillis when it was written, by the writer's time of day
+   * @param crash the crash as it was reported
+   * @param epochMillis when it was written by the writer's clock, in milliseconds since the epoch
    */
   record StoredCrash(CrashReport.Ended ended, long epochMillis) {}
 
-  /** Reads all that is kept. */
+  /** Reads all stored crashes. */
   void read(Consumer<StateSource.Read<List<StoredCrash>>> listener);
 
   /**
-   * Adds and removes ends; the listener is told whether the store confirmed it. What was not
-   * confirmed may have been done, and may be asked for again.
+   * Adds and removes crashes and passes whether the store confirmed the change to {@code done}. An
+   * unconfirmed change may have been applied; it is safe to repeat it.
    */
   void change(
       Collection<CrashReport.Ended> puts,
--- a/front/src/main/java/org/magnoliaswitch/front/process/DiscoveryReconciler.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/DiscoveryReconciler.java
@@ -8,94 +8,97 @@
 import org.magnoliaswitch.front.version.ServerList;
 
 /**
- * Decides which backend servers exist from a series of reads, some of which fail.
+ * Decides which backend servers exist from a series of discovery reads, some of which fail.
  *
- * <p>While the store is away, entries of living servers lapse there, and right after its return a
- * read lists few or none. Believing it would leave no server to send to, so entries that are
- * missing then are kept until the living ones had time to come back; one still missing after that
- * is gone. In ordinary times a missing entry is gone at once.
+ * <p>While the store is unavailable, entries of live servers expire, and right after its recovery a
+ * read lists few servers or none. Trusting that read would leave no server to send to, so missing
+ * entries are retained until live servers have had time to register again; an entry that is still
+ * missing then is dropped. Outside of outages a missing entry is dropped at once.
  */
 public final class DiscoveryReconciler {
-  /** Entries of living servers are back within two seconds of the store's return. */
-  static final long COME_BACK_NANOS = TimeUnit.MILLISECONDS.toNanos(2_200);
+  /**
+   * How long missing entries are retained: live servers are registered again within two seconds of
+   * the store's recovery.
+   */
+  static final long RETENTION_NANOS = TimeUnit.MILLISECONDS.toNanos(2_200);
 
-  /** Reads further apart than this may hide an outage in which entries lapsed. */
-  static final long OUTAGE_NANOS = TimeUnit.SECONDS.toNanos(3);
+  /** A longer gap between two reads may hide an outage during which entries expired. */
+  static final long OUTAGE_GAP_NANOS = TimeUnit.SECONDS.toNanos(3);
 
-  private Map<String, ServerEntry> known = Map.of();
-  private boolean read;
+  private Map<String, ServerEntry> current = Map.of();
+  private boolean hasRead;
   private boolean failing;
   private long lastReadNanos;
-  private long keepUntilNanos;
-  private boolean keeping;
-  private boolean toldSince;
+  private long retainUntilNanos;
+  private boolean retaining;
+  private boolean adoptedSince;
 
-  /** Notes that a read failed. */
-  public void failed() {
+  /** Records that a read failed. */
+  public void readFailed() {
     failing = true;
   }
 
-  /** Takes what was read and returns what is to be believed. */
-  public ServerList read(ServerList list, long nowNanos) {
-    boolean outage = failing || nowNanos - lastReadNanos > OUTAGE_NANOS;
-    if (read && outage) {
-      keeping = true;
-      keepUntilNanos = nowNanos + COME_BACK_NANOS;
+  /** Merges a read with the current servers and returns the list to use. */
+  public ServerList reconcile(ServerList list, long nowNanos) {
+    boolean outage = failing || nowNanos - lastReadNanos > OUTAGE_GAP_NANOS;
+    if (hasRead && outage) {
+      retaining = true;
+      retainUntilNanos = nowNanos + RETENTION_NANOS;
     }
-    if (keeping && nowNanos - keepUntilNanos >= 0) {
-      keeping = false;
+    if (retaining && nowNanos - retainUntilNanos >= 0) {
+      retaining = false;
     }
     failing = false;
-    toldSince = false;
-    read = true;
+    adoptedSince = false;
+    hasRead = true;
     lastReadNanos = nowNanos;
-    Map<String, ServerEntry> believed = new HashMap<>(list.servers());
-    keepLaterIncarnations(believed);
-    if (keeping) {
-      known.forEach(
+    Map<String, ServerEntry> merged = new HashMap<>(list.servers());
+    keepLaterIncarnations(merged);
+    if (retaining) {
+      current.forEach(
           (id, entry) -> {
             if (!entry.draining()) {
-              believed.putIfAbsent(id, entry);
+              merged.putIfAbsent(id, entry);
             }
           });
     }
-    known = Map.copyOf(believed);
-    // A quiet store gives the list without the kept entries under the same version later. It must
-    // be
-    // newer than this one, or servers that are gone would get requests until something else
-    // changes.
-    long version = keeping ? list.version() - 1 : list.version();
-    return new ServerList(version, believed);
+    current = Map.copyOf(merged);
+    // A store without changes later returns the list without the retained entries under the same
+    // version. That list must count as newer than this one, or departed servers would receive
+    // requests until another entry changes.
+    long version = retaining ? list.version() - 1 : list.version();
+    return new ServerList(version, merged);
   }
 
   /**
-   * Time until missing entries are kept no longer; absent while none are, or if a peer has told its
-   * list since. A read is due then: put off to its usual time, a server that left meanwhile would
-   * get requests for that much longer.
+   * Returns the time until missing entries are no longer retained; empty while none are retained or
+   * if a peer's list has been adopted since. A read is due at that time: delayed until the next
+   * regular read, a server that left during the outage would receive requests for that much longer.
    */
-  public OptionalLong untilReleaseNanos(long nowNanos) {
-    return keeping && !toldSince
-        ? OptionalLong.of(Math.max(0, keepUntilNanos - nowNanos))
+  public OptionalLong untilRetentionEndsNanos(long nowNanos) {
+    return retaining && !adoptedSince
+        ? OptionalLong.of(Math.max(0, retainUntilNanos - nowNanos))
         : OptionalLong.empty();
   }
 
   /**
-   * A process that stood still while its server started again may write its entry once more. Taken
-   * for the server's, it would bring back what the new process replaced, as long as a heartbeat.
+   * Keeps the entries of later incarnations. A stalled process may write its entry once more after
+   * the server has restarted under the same id; accepting that entry would bring back the replaced
+   * incarnation for the duration of a heartbeat.
    */
-  private void keepLaterIncarnations(Map<String, ServerEntry> believed) {
-    believed.replaceAll(
+  private void keepLaterIncarnations(Map<String, ServerEntry> merged) {
+    merged.replaceAll(
         (id, entry) -> {
-          ServerEntry before = known.get(id);
-          return before != null && before.replaces(entry) ? before : entry;
+          ServerEntry known = current.get(id);
+          return known != null && known.replaces(entry) ? known : entry;
         });
   }
 
-  /** Takes what a peer believes, which is as good as an own read. */
+  /** Adopts the list of a peer, which counts as an own read. */
   public void adopt(ServerList list, long nowNanos) {
-    known = list.servers();
-    toldSince = true;
-    read = true;
+    current = list.servers();
+    adoptedSince = true;
+    hasRead = true;
     failing = false;
     lastReadNanos = nowNanos;
   }
--- a/front/src/main/java/org/magnoliaswitch/front/process/Environment.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/Environment.java
@@ -9,18 +9,18 @@
 import org.magnoliaswitch.front.version.RouteTable;
 
 /**
- * The parts of a process that every request needs.
+ * Components of an instance that every request uses.
  *
- * @param settings what this instance was told at its start
- * @param loop the thread of all requests and their connections
- * @param routes configuration in force, swapped as a whole
- * @param routesFreshness how long ago that configuration was known to be the newest
+ * @param settings start-up settings of this instance
+ * @param loop event loop of all requests and their connections
+ * @param routes configuration in force, replaced atomically
+ * @param routesFreshness when that configuration was last confirmed to be the newest
  * @param servers backend servers
- * @param routeState what outlives a configuration version
- * @param instances how many instances serve, as far as known
- * @param quotas what may be sent to servers that take few requests
- * @param notices what servers ask of their callers
- * @param crashes requests under which servers end
+ * @param routeState state of routes and services that outlives a configuration version
+ * @param instances number of serving instances, as far as known
+ * @param quotas limits on requests to servers that accept few
+ * @param notices applies the backpressure notices of servers
+ * @param crashes requests during which servers crash
  */
 public record Environment(
     FrontSettings settings,
--- a/front/src/main/java/org/magnoliaswitch/front/process/EventLog.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/EventLog.java
@@ -7,23 +7,24 @@
 import org.magnoliaswitch.front.load.RateLimit;
 
 /**
- * One line of key=value pairs for each decision that touches a request or changes a belief.
+ * Writes one line of key=value pairs for each decision about a request and each change of this
+ * instance's state.
  *
- * <p>The volume is bounded, so that a burst is not slowed by its own log: successes have a budget,
- * failures and beliefs a larger one of their own, and what is left out is counted and told. Lines
- * are put together by appending: a format string was parsed anew for each line, a fifth of the
- * processor time of a request that runs on code that is not compiled yet.
+ * <p>The volume is bounded, so that logging does not slow down a burst of requests: successes have
+ * a budget, failures and state changes share a separate larger one, and the number of dropped lines
+ * is logged. Lines are built by appending: parsing a format string for each line takes a fifth of
+ * the processor time of a request while the code is not yet compiled.
  */
 public final class EventLog {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** Lines a second for requests that went well. */
+  /** Maximum number of lines per second about successful requests. */
   private static final double SUCCESS_LINES_PER_SECOND = 200;
 
-  /** Lines a second for everything else. */
+  /** Maximum number of other lines per second. */
   private static final double FAILURE_LINES_PER_SECOND = 500;
 
-  private static final int USUAL_LENGTH = 160;
+  private static final int INITIAL_CAPACITY = 160;
   private static final Line DROPPED = new Line(null);
 
   private final Clocks clocks;
@@ -37,7 +38,7 @@
     this.failures = new RateLimit(FAILURE_LINES_PER_SECOND, clocks.nanos());
   }
 
-  /** A line that is being put together; it goes out with {@link #write}. */
+  /** A line under construction; {@link #write} passes it to the log. */
   public static final class Line {
     private static final int HUNDREDTHS = 100;
     private static final Pattern CONTROL = Pattern.compile("\\p{Cntrl}");
@@ -48,18 +49,19 @@
       this.text = text;
     }
 
-    /** Adds a word. */
+    /** Appends a text, which is quoted if it contains spaces or control characters. */
     public Line add(String key, String value) {
       if (text != null) {
-        text.append(' ').append(key).append('=').append(oneWord(value));
+        text.append(' ').append(key).append('=').append(quoted(value));
       }
       return this;
     }
 
     /**
-     * A caller's own text with a space or line break in it could look like further pairs or lines.
+     * Quotes a value with a space or line break: a text supplied by a caller could otherwise be
+     * taken for further pairs or lines.
      */
-    private static String oneWord(String value) {
+    private static String quoted(String value) {
       for (int i = 0; i < value.length(); i++) {
         if (value.charAt(i) <= ' ') {
           return '"' + CONTROL.matcher(value).replaceAll(" ").replace('"', '\'') + '"';
@@ -68,7 +70,7 @@
       return value;
     }
 
-    /** Adds a whole number. */
+    /** Appends an integer. */
     public Line add(String key, long value) {
       if (text != null) {
         text.append(' ').append(key).append('=').append(value);
@@ -76,7 +78,7 @@
       return this;
     }
 
-    /** Adds a number with two decimals. */
+    /** Appends a number with two decimals. */
     public Line addDecimal(String key, double value) {
       if (text != null) {
         long hundredths = Math.round(value * HUNDREDTHS);
@@ -88,7 +90,7 @@
       return this;
     }
 
-    /** Hands the line to the log; never blocks. */
+    /** Passes the line to the log; never blocks. */
     public void write() {
       if (text != null) {
         logger.atInfo().log("%s", text);
@@ -96,17 +98,17 @@
     }
   }
 
-  /** A decision on a request that goes well. */
+  /** Starts a line about a request that proceeds normally. */
   public Line success(String event) {
     return line(successes, SUCCESS_LINES_PER_SECOND, event);
   }
 
-  /** A decision on a request that does not go well. */
+  /** Starts a line about a failure. */
   public Line failure(String event) {
     return line(failures, FAILURE_LINES_PER_SECOND, event);
   }
 
-  /** A change of what this process believes. */
+  /** Starts a line about a change of this instance's state. */
   public Line stateChange(String event) {
     return line(failures, FAILURE_LINES_PER_SECOND, event);
   }
@@ -120,6 +122,6 @@
       logger.atInfo().log("event=lines_dropped count=%d", dropped);
       dropped = 0;
     }
-    return new Line(new StringBuilder(USUAL_LENGTH).append("event=").append(event));
+    return new Line(new StringBuilder(INITIAL_CAPACITY).append("event=").append(event));
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/Freshness.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/Freshness.java
@@ -4,19 +4,22 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * How long ago a part of what this instance believes was confirmed by the platform. Noted by one
- * thread, asked by any.
+ * Tracks when a part of this instance's state was last confirmed by the platform. Updated by one
+ * thread, readable from any.
  */
 public final class Freshness {
-  /** Told to peers while nothing has been confirmed yet. */
+  /** Age that is reported to peers while nothing has been confirmed yet. */
   private static final long NEVER_MILLIS = TimeUnit.DAYS.toMillis(1);
 
-  /** The moment of the last confirmation, swapped as a whole. */
+  /** Time of the last confirmation; a record, so that it is replaced atomically. */
   private record Confirmation(long atNanos) {}
 
   private volatile @Nullable Confirmation last;
 
-  /** Notes that what is believed was true at a moment. */
+  /**
+   * Records that the state was up to date at the given time, unless a later time is recorded
+   * already.
+   */
   public void confirmed(long atNanos) {
     Confirmation before = last;
     if (before == null || atNanos - before.atNanos() > 0) {
@@ -24,7 +27,7 @@
     }
   }
 
-  /** Age of the last confirmation. */
+  /** Returns the time since the last confirmation. */
   public long ageMillis(long nowNanos) {
     Confirmation known = last;
     return known == null ? NEVER_MILLIS : TimeUnit.NANOSECONDS.toMillis(nowNanos - known.atNanos());
--- a/front/src/main/java/org/magnoliaswitch/front/process/Front.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/Front.java
@@ -7,28 +7,31 @@
 import org.magnoliaswitch.front.connection.RequestHandler;
 import org.magnoliaswitch.front.loop.Loop;
 
-/** A running instance: callers' listener, readiness and the ordered stop. */
+/** A running instance: the listener for callers, the readiness check and the graceful shutdown. */
 public final class Front {
-  /** The balancer takes an instance out after two missed checks, a second apart. */
-  private static final long NOTICE_NANOS = TimeUnit.MILLISECONDS.toNanos(3_200);
+  /**
+   * How long requests are accepted after the stop signal: the load balancer removes an instance
+   * after two failed checks, one second apart.
+   */
+  private static final long UNREADY_NANOS = TimeUnit.MILLISECONDS.toNanos(3_200);
 
   /**
-   * Left of the grace time when the process ends, whatever is still open: a slow machine needs some
-   * time to write its last lines, and would be killed meanwhile.
+   * Part of the grace period that is left when the process exits, even with open connections: a
+   * slow machine needs some time to write its last log lines before it is killed.
    */
   private static final long RESERVE_NANOS = TimeUnit.MILLISECONDS.toNanos(800);
 
-  /** Time between two looks at whether all connections have ended. */
+  /** Interval at which the shutdown checks whether all connections are closed. */
   private static final long POLL_MILLIS = 50;
 
-  /** Time between two closings of kept connections that their servers would soon close. */
+  /** Interval at which idle connections are closed that their servers would soon close. */
   private static final long SWEEP_MILLIS = 500;
 
   private final Environment environment;
   private final KnownState knownState;
   private final CallerListener callers;
   private volatile boolean stopping;
-  private boolean toldReady;
+  private boolean reportedReady;
 
   public Front(
       Environment environment,
@@ -63,14 +66,15 @@
         .write();
   }
 
-  /** Address that callers connect to, as bound. */
+  /** Returns the address that callers connect to, as bound. */
   public InetSocketAddress callerAddress() {
     return callers.address();
   }
 
   /**
-   * Stops in order and calls back when the process may end: not ready at once, served on until the
-   * balancer has noticed, then idle connections are closed and requests in flight finished.
+   * Shuts down gracefully and calls back when the process may exit. The readiness check fails at
+   * once, requests are served until the load balancer has noticed, then idle connections are closed
+   * and requests in flight are finished.
    */
   public void stop(Runnable stopped) {
     stopping = true;
@@ -81,16 +85,16 @@
         .write();
     Loop loop = environment.loop();
     long grace = environment.settings().graceNanos() - RESERVE_NANOS;
-    long notice = Math.min(NOTICE_NANOS, grace / 2);
+    long unready = Math.min(UNREADY_NANOS, grace / 2);
     long deadline = environment.clocks().nanos() + grace;
     loop.execute(callers::announceStop);
-    loop.after(notice, () -> drain(deadline, stopped));
+    loop.after(unready, () -> drain(deadline, stopped));
   }
 
   private void drain(long deadline, Runnable stopped) {
     callers.refuseNew();
-    boolean late = environment.clocks().nanos() - deadline >= 0;
-    if (callers.size() == 0 || late) {
+    boolean expired = environment.clocks().nanos() - deadline >= 0;
+    if (callers.size() == 0 || expired) {
       environment.log().stateChange("stopped").add("open", callers.size()).write();
       stopped.run();
     } else {
@@ -100,8 +104,8 @@
 
   private StatusListener.Status readiness() {
     boolean ready = knownState.complete() && !stopping;
-    if (ready != toldReady) {
-      toldReady = ready;
+    if (ready != reportedReady) {
+      reportedReady = ready;
       environment
           .log()
           .stateChange(ready ? "ready" : "not_ready")
--- a/front/src/main/java/org/magnoliaswitch/front/process/FrontMetrics.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/FrontMetrics.java
@@ -14,25 +14,25 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Counters and latencies of this instance, as a page for Prometheus.
+ * Counters, gauges and latencies of this instance in the text format of Prometheus.
  *
- * <p>Counting is an addition; the registry and its classes are loaded at the first scrape, so that
- * a restart, which callers wait for, does not pay for them. Labels are service names and the words
- * in this program, so their number is bounded by the configuration.
+ * <p>Counting only increments a number. The registry and its classes are loaded at the first
+ * scrape, so that they do not delay a restart while callers wait. Label values are service names
+ * and constants of this program, so the configuration bounds their number.
  */
 public final class FrontMetrics {
-  /** Latencies above this count as this much. */
+  /** Latencies above this value are recorded as this value. */
   private static final long HIGHEST_MILLIS = TimeUnit.MINUTES.toMillis(2);
 
-  private static final int DIGITS = 2;
+  private static final int SIGNIFICANT_DIGITS = 2;
   private static final double[] QUANTILES = {0.5, 0.9, 0.99, 0.999};
 
   /**
-   * One counter.
+   * Identifies a counter.
    *
    * @param name name of the metric
-   * @param service service it is about, or an empty text
-   * @param result how what is counted ended
+   * @param service name of the service, or an empty string
+   * @param result result of the counted events
    */
   private record Key(String name, String service, String result) {}
 
@@ -47,32 +47,34 @@
     counters.computeIfAbsent(new Key(name, service, result), key -> new LongAdder()).increment();
   }
 
-  /** Records how long a whole answer took. */
+  /** Records the time until a response was complete. */
   public void latency(String service, long nanos) {
     long millis = Math.clamp(TimeUnit.NANOSECONDS.toMillis(nanos), 0, HIGHEST_MILLIS);
     latencies
-        .computeIfAbsent(service, name -> new ConcurrentHistogram(HIGHEST_MILLIS, DIGITS))
+        .computeIfAbsent(
+            service, name -> new ConcurrentHistogram(HIGHEST_MILLIS, SIGNIFICANT_DIGITS))
         .recordValue(millis);
   }
 
-  /** Shows a value of the moment. */
+  /** Registers a gauge, which is read at each scrape. */
   public void gauge(String name, LongSupplier value) {
     gauges.put(name, value);
   }
 
-  /** The page. */
+  /** Returns the page that Prometheus scrapes. */
   public synchronized String scrape() {
     if (registry == null) {
       registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     }
     PrometheusMeterRegistry target = registry;
-    counters.forEach((key, value) -> once(key, () -> register(target, key, value)));
-    gauges.forEach((name, value) -> once(name, () -> register(target, name, value)));
-    latencies.forEach((service, value) -> once(value, () -> register(target, service, value)));
+    counters.forEach((key, value) -> registerOnce(key, () -> register(target, key, value)));
+    gauges.forEach((name, value) -> registerOnce(name, () -> register(target, name, value)));
+    latencies.forEach(
+        (service, value) -> registerOnce(value, () -> register(target, service, value)));
     return target.scrape();
   }
 
-  private void once(Object key, Runnable register) {
+  private void registerOnce(Object key, Runnable register) {
     if (registered.putIfAbsent(key, true) == null) {
       register.run();
     }
--- a/front/src/main/java/org/magnoliaswitch/front/process/FrontSettings.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/FrontSettings.java
@@ -8,22 +8,23 @@
 import org.magnoliaswitch.front.load.SharedRetryBudget;
 
 /**
- * What one instance is told at its start.
+ * Start-up settings of one instance.
  *
  * @param instance name of this instance
- * @param dataCentre where it runs
- * @param callers address for callers
+ * @param dataCentre data centre in which it runs
+ * @param callers address that callers connect to
  * @param readiness address of the readiness check
- * @param peers address on which other instances ask for news
- * @param seeds addresses of instances that read discovery and configuration for the others
- * @param firstStart whether all instances start for the first time, together
+ * @param peers address that other instances connect to
+ * @param seeds addresses of the instances that read discovery and configuration for the others
+ * @param firstStart whether all instances start together for the first time
  * @param metricsPort port of the metrics page, on the address of the readiness check
- * @param graceNanos time between the signal to stop and the kill
- * @param retryBudget budget of further sends over all instances
- * @param probesPerServer health checks per second that one server may get from all instances
- * @param coldServerBounds what all instances together may send to a cold server
+ * @param graceNanos time between the stop signal and the kill
+ * @param retryBudget budget of further attempts of all instances together
+ * @param probesPerServer maximum number of health checks per second to one server from all
+ *     instances together
+ * @param coldServerBounds bounds on the requests of all instances together to a cold server
  * @param regions region of each data centre, by the data centre's name
- * @param mechanisms which parts of the decisions under load are in force
+ * @param mechanisms mechanisms of load balancing that are enabled
  */
 public record FrontSettings(
     String instance,
@@ -45,8 +46,11 @@
     regions = Map.copyOf(regions);
   }
 
-  /** Region of a data centre; one that was added since the start is a region of its own. */
-  public String region(String ofDataCentre) {
-    return regions.getOrDefault(ofDataCentre, ofDataCentre);
+  /**
+   * Returns the region of a data centre. A data centre that was added after the start is a region
+   * of its own.
+   */
+  public String region(String name) {
+    return regions.getOrDefault(name, name);
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/InstanceCount.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/InstanceCount.java
@@ -9,11 +9,12 @@
 import org.magnoliaswitch.front.load.SenderDraw;
 
 /**
- * How many instances serve and which of their places this one has, as far as it knows; safe for
- * several threads.
+ * The number of serving instances and the index of this one among them, as far as known;
+ * thread-safe.
  *
- * <p>Shares of what all instances together may do are worked out from it. While all of them start
- * at once, each knows of few others; by the time the count is settled they have found each other.
+ * <p>Shares of limits that apply to all instances together are computed from it. If all instances
+ * start at once, each knows only a few others at first; by the time the count is settled they have
+ * found each other.
  */
 public final class InstanceCount {
   private static final long SETTLE_NANOS = TimeUnit.SECONDS.toNanos(2);
@@ -25,9 +26,9 @@
   private final long startedNanos;
 
   /**
-   * Creates it at the start of the process.
+   * Creates the count at the start of the process.
    *
-   * @param assumed count until others tell
+   * @param assumed count until another instance reports one
    */
   public InstanceCount(int assumed, Clocks clocks) {
     this.count = new AtomicInteger(assumed);
@@ -35,14 +36,14 @@
     this.startedNanos = clocks.nanos();
   }
 
-  /** The count, this instance included. */
+  /** Returns the number of instances, including this one. */
   public int count() {
     return count.get();
   }
 
-  /** Takes what others tell. */
-  public void learnt(int told) {
-    count.set(told);
+  /** Sets the number of instances that others report. */
+  public void update(int reported) {
+    count.set(reported);
   }
 
   /**
@@ -68,13 +69,13 @@
     return new SenderDraw(instance, incarnation, count(), place());
   }
 
-  /** Whether there was time to find the others. */
+  /** Whether this instance has been running long enough to have found the others. */
   public boolean settled() {
-    return settlesInNanos() == 0;
+    return untilSettledNanos() == 0;
   }
 
-  /** Time until the others should have been found; 0 if there was enough. */
-  long settlesInNanos() {
+  /** Returns the time until the others should have been found; 0 if it has passed. */
+  long untilSettledNanos() {
     return Math.max(0, startedNanos + SETTLE_NANOS - clocks.nanos());
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/KnownState.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/KnownState.java
@@ -8,10 +8,11 @@
 import org.magnoliaswitch.front.version.ServerList;
 
 /**
- * Takes configuration, evacuations and discovery from whoever has news, forwards only.
+ * Holds the newest known configuration, evacuations and list of servers, whichever source they come
+ * from.
  *
- * <p>News may come late, twice, or from a peer that lags; only a higher version changes anything.
- * Safe for several threads.
+ * <p>Updates may arrive late, twice or from a peer that lags behind; only a higher version has an
+ * effect. Thread-safe.
  */
 public final class KnownState {
   private final AtomicReference<RouteTable> routes;
@@ -30,7 +31,7 @@
     this.log = log;
   }
 
-  /** Puts a configuration in force if it is newer than the one in force; returns whether it is. */
+  /** Applies a configuration if it is newer than the one in force; returns whether it is. */
   public boolean offer(RouteTable next, String source) {
     RouteTable before =
         routes.getAndUpdate(current -> next.version() > current.version() ? next : current);
@@ -47,8 +48,8 @@
   }
 
   /**
-   * Puts evacuations in force if they are newer than those in force; returns whether other data
-   * centres than before are evacuated now.
+   * Applies evacuations if they are newer than those in force; returns whether the set of evacuated
+   * data centres has changed.
    */
   public boolean offer(Evacuations next, String source) {
     Evacuations before =
@@ -77,7 +78,7 @@
         : String.join("/", new TreeSet<>(evacuations.dataCentres()));
   }
 
-  /** Puts a list of servers in force if it is newer than the one in force. */
+  /** Applies a list of servers if it is newer than the one in force. */
   public void offer(ServerList next) {
     ServerList before =
         servers.getAndUpdate(current -> next.version() > current.version() ? next : current);
@@ -86,7 +87,10 @@
     }
   }
 
-  /** Whether this instance knows enough to serve. */
+  /**
+   * Whether configuration, servers and evacuations are known, so that this instance can serve
+   * callers.
+   */
   public boolean complete() {
     return routes.get().known() && servers.get().known() && evacuations.get().known();
   }
--- a/front/src/main/java/org/magnoliaswitch/front/process/LatencyBaseline.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/LatencyBaseline.java
@@ -2,15 +2,21 @@
 
 import org.magnoliaswitch.front.version.Route;
 
-/** Usual latency of a route's requests on an undisturbed server, learnt from own answers. */
+/**
+ * Expected latency of a route's requests on an undisturbed server: a moving average over the
+ * responses to this instance.
+ */
 public final class LatencyBaseline {
-  /** Share of the objective assumed before anything is known. */
+  /** Fraction of the latency objective that is assumed before the first response. */
   private static final double INITIAL_SHARE = 0.4;
 
-  /** Weight of one answer: the last twenty count, so a slow server does not move it. */
+  /**
+   * Weight of one response: the average covers about the last twenty, so a slow server does not
+   * shift it.
+   */
   private static final double WEIGHT = 0.05;
 
-  /** One latency counts as at most this multiple of the usual one. */
+  /** A single latency counts as at most this multiple of the average. */
   private static final double MAX_RATIO = 4;
 
   private double nanos;
@@ -19,12 +25,14 @@
     this.nanos = INITIAL_SHARE * route.objectiveNanos();
   }
 
-  /** The latency to expect. */
+  /** Returns the expected latency. */
   public double nanos() {
     return nanos;
   }
 
-  /** Takes the latency of a whole answer, divided by the server's slowness at that moment. */
+  /**
+   * Adds the latency of a complete response, divided by the slowness of the server at that time.
+   */
   public void update(double undisturbedNanos) {
     nanos += WEIGHT * (Math.min(undisturbedNanos, MAX_RATIO * nanos) - nanos);
   }
--- a/front/src/main/java/org/magnoliaswitch/front/process/RouteState.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/RouteState.java
@@ -8,22 +8,22 @@
 import org.magnoliaswitch.front.load.SharedRetryBudget;
 import org.magnoliaswitch.front.version.Route;
 
-/** What outlives a configuration version for each route and service; used by one thread only. */
+/** State of routes and services that outlives a configuration version; used by one thread. */
 public final class RouteState {
   private final RandomGenerator random;
-  private final SharedRetryBudget.Limits repeatLimits;
+  private final SharedRetryBudget.Limits retryLimits;
   private final Map<String, PartPicker> pickers = new HashMap<>();
   private final Map<String, LatencyBaseline> baselines = new HashMap<>();
   private final Map<String, SharedRetryBudget> budgets = new HashMap<>();
-  private final Map<String, Long> patience = new HashMap<>();
+  private final Map<String, Long> longestWaits = new HashMap<>();
   private final Map<String, ServiceLoad> loads = new HashMap<>();
 
-  public RouteState(RandomGenerator random, SharedRetryBudget.Limits repeatLimits) {
+  public RouteState(RandomGenerator random, SharedRetryBudget.Limits retryLimits) {
     this.random = random;
-    this.repeatLimits = repeatLimits;
+    this.retryLimits = retryLimits;
   }
 
-  /** The service that a route's next request goes to. */
+  /** Returns the service that the next request of a route goes to. */
   public String pick(Route route) {
     if (route.services().size() == 1) {
       return route.services().getFirst().service();
@@ -34,26 +34,26 @@
   }
 
   /**
-   * The longest time that callers of a route wait; those that wait less have spent the difference
-   * on earlier tries.
+   * Returns the longest time that any caller of a route has been willing to wait. A caller that
+   * waits less has spent the difference on earlier attempts.
    */
   public long longestWaitNanos(Route route, long callerWaitNanos) {
-    return patience.merge(route.name(), callerWaitNanos, Math::max);
+    return longestWaits.merge(route.name(), callerWaitNanos, Math::max);
   }
 
-  /** Usual latency of a route. */
+  /** Returns the expected latency of a route. */
   public LatencyBaseline baseline(Route route) {
     return baselines.computeIfAbsent(route.name(), name -> new LatencyBaseline(route));
   }
 
-  /** What the servers of a service hold on average. */
+  /** Returns the average load of a service's servers. */
   public ServiceLoad load(String service) {
     return loads.computeIfAbsent(service, name -> new ServiceLoad());
   }
 
-  /** Budget of further sends to a service. */
+  /** Returns the budget of further attempts for a service. */
   public SharedRetryBudget budget(String service) {
     return budgets.computeIfAbsent(
-        service, name -> new SharedRetryBudget(repeatLimits, random.nextDouble()));
+        service, name -> new SharedRetryBudget(retryLimits, random.nextDouble()));
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerDirectory.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerDirectory.java
@@ -18,11 +18,11 @@
 
 /** The backend servers of all services with their state and connections; used by one thread. */
 public final class ServerDirectory {
-  /** Idle connections are closed by this instance after this time at the latest. */
+  /** Maximum time for which this instance keeps an idle connection open. */
   private static final long MAX_IDLE_NANOS = TimeUnit.SECONDS.toNanos(60);
 
-  /** Servers new in one list that get a log line each. */
-  private static final int MOST_TOLD_SINGLY = 4;
+  /** Maximum number of new servers in one list that are logged individually. */
+  private static final int MAX_LOGGED_INDIVIDUALLY = 4;
 
   private final ServerConnector connector;
   private final Clocks clocks;
@@ -59,49 +59,57 @@
     return current.version();
   }
 
-  /** The servers of a service, those that leave included; of a large service a part. */
+  /**
+   * Returns the servers of a service, including leaving ones; for a large service only a subset.
+   */
   public List<ServerPool> of(String service) {
     return groups.of(service);
   }
 
-  /** Share of a service's servers that this instance sends to, as do others of theirs. */
+  /**
+   * Returns the share of a service's servers that this instance sends to; the subsets of other
+   * instances have the same size.
+   */
   public double subsetShare(String service) {
     return groups.subsetShare(service);
   }
 
-  /** The connections to a server; a server that has left since keeps a pool of its own. */
+  /**
+   * Returns the connection pool of a server; a server that has left since gets a pool of its own.
+   */
   public ServerPool poolOf(ServerState state) {
     ServerPool pool = byId.get(state.entry().id());
     return pool != null && pool.state() == state ? pool : new ServerPool(state, connector, clocks);
   }
 
-  /** All servers. */
+  /** Returns the pools of all servers. */
   public Collection<ServerPool> all() {
     return byId.values();
   }
 
-  /** Puts a list in force; one that is not newer changes nothing. */
+  /** Applies a list; a list that is not newer has no effect. */
   public void apply(ServerList next) {
     if (next.version() <= current.version()) {
       return;
     }
     current = next;
     long now = clocks.nanos();
-    List<ServerEntry> learnt = new ArrayList<>();
+    List<ServerEntry> added = new ArrayList<>();
     for (ServerEntry entry : next.servers().values()) {
       if (!byId.containsKey(entry.id())) {
-        learnt.add(entry);
+        added.add(entry);
       }
-      take(entry, now);
+      applyEntry(entry, now);
     }
-    tellLearnt(learnt);
-    dropMissing();
-    groups.form(byId.values());
+    logAdded(added);
+    removeMissing();
+    groups.rebuild(byId.values());
   }
 
   /**
-   * Sends nothing more to the servers of the evacuated data centres, and again to those of others.
-   * Their work was taken away, so their caches count as cold until they say otherwise.
+   * Stops sending to servers in evacuated data centres and resumes sending to those in reinstated
+   * ones. Reinstated servers had no work meanwhile, so their caches count as cold until they report
+   * otherwise.
    */
   public void evacuate(Evacuations next) {
     evacuated = next.dataCentres();
@@ -112,13 +120,13 @@
       if (state.evacuated()) {
         pool.closeIdle();
       } else if (before) {
-        state.assumeCold(coldServers.spanNanos(state.entry().service()), clocks.nanos());
+        state.assumeCold(coldServers.warmupNanos(state.entry().service()), clocks.nanos());
       }
     }
-    groups.form(byId.values());
+    groups.rebuild(byId.values());
   }
 
-  /** Closes connections that the servers would soon close themselves. */
+  /** Closes idle connections that their servers would soon close. */
   public void sweep() {
     byId.values().forEach(pool -> pool.sweep(MAX_IDLE_NANOS));
     replaceUnavailable();
@@ -126,33 +134,36 @@
 
   private void replaceUnavailable() {
     if (groups.outdated(byId.values())) {
-      groups.form(byId.values());
+      groups.rebuild(byId.values());
     }
   }
 
   /**
-   * Notes that no connection to a server could be opened. Others take its place for a while, and
-   * whoever listens there next may have started anew.
+   * Records that no connection to a server could be opened. Other servers replace it for a while,
+   * and it counts as cold, since the process that listens there next may have just started.
    */
   public void recordUnreachable(ServerState state) {
     recordFailure(state, "unreachable");
-    coldServers.unreachable(state);
+    coldServers.assumeCold(state);
     state.unreachable(clocks.nanos());
     replaceUnavailable();
   }
 
-  /** A server has said that it leaves: nothing new goes there, and others take its place. */
-  void leaving(ServerState state) {
+  /**
+   * Handles a server's announcement that it is leaving: it receives no new requests, and others
+   * replace it.
+   */
+  void handleLeaving(ServerState state) {
     poolOf(state).closeIdle();
-    groups.form(byId.values());
+    groups.rebuild(byId.values());
   }
 
-  /** A server has asked for a pause: others take its place meanwhile. */
-  void paused() {
+  /** Handles a server's request for a pause: others replace it meanwhile. */
+  void handlePause() {
     replaceUnavailable();
   }
 
-  /** Notes a failure of a server, and tells when it makes the server suspect. */
+  /** Records a failure of a server and logs if it makes the server suspect. */
   public void recordFailure(ServerState state, String reason) {
     long now = clocks.nanos();
     boolean before = state.suspect(now);
@@ -167,7 +178,7 @@
     }
   }
 
-  /** Notes a whole answer, and tells when a suspect server is trusted again. */
+  /** Records a complete response and logs if it makes a suspect server trusted again. */
   public void recordSuccess(ServerState state, double ratioToExpected) {
     long now = clocks.nanos();
     boolean before = state.suspect(now);
@@ -181,8 +192,8 @@
     }
   }
 
-  /** Takes one entry; that of an earlier incarnation, written or read late, changes nothing. */
-  private void take(ServerEntry entry, long now) {
+  /** Applies one entry; an entry of an earlier incarnation, written or read late, has no effect. */
+  private void applyEntry(ServerEntry entry, long now) {
     ServerPool known = byId.get(entry.id());
     if (known == null) {
       byId.put(entry.id(), newPool(entry, now));
@@ -197,14 +208,14 @@
   }
 
   private ServerPool newPool(ServerEntry entry, long now) {
-    ServerState state = new ServerState(entry, backpressure.of(entry), now);
+    ServerState state = new ServerState(entry, backpressure.take(entry), now);
     state.evacuated(evacuated.contains(entry.dataCentre()));
     return new ServerPool(state, connector, clocks);
   }
 
   private void update(ServerPool known, ServerEntry entry, long now) {
     if (entry.draining() && !known.state().entry().draining()) {
-      told("server_draining", entry);
+      logChange("server_draining", entry);
     }
     known.state().update(entry, now);
     if (entry.draining()) {
@@ -213,39 +224,40 @@
   }
 
   /**
-   * A server has started again under its id. Its kept connections are dead, and its failures, load
-   * and departure were those of a process that is gone: callers would be refused for seconds while
-   * an idle server stands by. Attempts under way keep the old state, so their end counts there.
+   * Replaces the state of a server that has restarted under its id. Its pooled connections are
+   * dead, and its failures, load and departure belong to a process that has exited: with that
+   * state, callers would be rejected for seconds while the server is idle. Attempts in progress
+   * keep the old state, so their results count there.
    */
   private void restarted(ServerPool known, ServerEntry entry, long now) {
-    leave(known);
+    retire(known);
     byId.put(entry.id(), newPool(entry, now));
-    told("server_restarted", entry);
+    logChange("server_restarted", entry);
   }
 
-  /** Nothing more goes there, also from requests that wait in line and still hold the state. */
-  private static void leave(ServerPool pool) {
+  /** Stops all requests to a server, including queued requests that still hold its state. */
+  private static void retire(ServerPool pool) {
     pool.state().markGone();
     pool.closeIdle();
   }
 
   /**
-   * A few are told one by one, many together: at a start a line a server would be written while
-   * callers wait.
+   * Logs a few new servers individually and many with one line: at a start, one line per server
+   * would be written while callers wait.
    */
-  private void tellLearnt(List<ServerEntry> learnt) {
-    if (learnt.size() <= MOST_TOLD_SINGLY) {
-      learnt.forEach(entry -> told("server_learnt", entry));
+  private void logAdded(List<ServerEntry> added) {
+    if (added.size() <= MAX_LOGGED_INDIVIDUALLY) {
+      added.forEach(entry -> logChange("server_learnt", entry));
     } else {
       log.stateChange("servers_learnt")
-          .add("count", learnt.size())
+          .add("count", added.size())
           .add("known", byId.size())
           .add("list", current.version())
           .write();
     }
   }
 
-  private void told(String event, ServerEntry entry) {
+  private void logChange(String event, ServerEntry entry) {
     log.stateChange(event)
         .add("server", entry.id())
         .add("service", entry.service())
@@ -253,16 +265,16 @@
         .write();
   }
 
-  private void dropMissing() {
+  private void removeMissing() {
     Iterator<ServerPool> pools = byId.values().iterator();
     while (pools.hasNext()) {
       ServerPool pool = pools.next();
       ServerEntry entry = pool.state().entry();
       if (!current.servers().containsKey(entry.id())) {
         pools.remove();
-        backpressure.keep(pool.state());
-        leave(pool);
-        told("server_gone", entry);
+        backpressure.store(pool.state());
+        retire(pool);
+        logChange("server_gone", entry);
       }
     }
   }
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerGroups.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerGroups.java
@@ -15,14 +15,14 @@
 import org.magnoliaswitch.front.load.ServerState;
 import org.magnoliaswitch.front.load.ServerSubset;
 
-/** Which servers of each service this instance sends to; used by one thread. */
+/** Selects the servers of each service that this instance sends to; used by one thread. */
 final class ServerGroups {
   private final FrontSettings settings;
   private final Clocks clocks;
   private final InstanceCount instances;
   private final ColdServerQuotas coldServers;
   private final Map<String, List<ServerPool>> byService = new HashMap<>();
-  private final Map<String, Double> parts = new HashMap<>();
+  private final Map<String, Double> subsetShares = new HashMap<>();
   private Set<ServerPool> unavailable = Set.of();
 
   ServerGroups(
@@ -36,17 +36,19 @@
     this.coldServers = coldServers;
   }
 
-  /** The servers of a service, those that leave included; of a large service a part. */
+  /**
+   * Returns the servers of a service, including leaving ones; for a large service only a subset.
+   */
   List<ServerPool> of(String service) {
     return byService.getOrDefault(service, List.of());
   }
 
-  /** Share of a service's servers that this instance sends to. */
+  /** Returns the share of a service's servers that this instance sends to. */
   double subsetShare(String service) {
-    return parts.getOrDefault(service, 1.0);
+    return subsetShares.getOrDefault(service, 1.0);
   }
 
-  /** Whether the servers whose place others take differ from when the groups were formed. */
+  /** Whether the set of unavailable servers has changed since the groups were built. */
   boolean outdated(Collection<ServerPool> all) {
     return !unavailable(all).equals(unavailable);
   }
@@ -57,17 +59,17 @@
         .collect(Collectors.toUnmodifiableSet());
   }
 
-  /** Whether it cannot be reached, or has asked this instance for a pause. */
+  /** Whether a server could not be reached recently or has asked this instance for a pause. */
   private boolean unavailable(ServerState server) {
     long now = clocks.nanos();
     return server.unreachableLately(now) || server.backpressure().pauseLeftNanos(now) > 0;
   }
 
   /**
-   * Forms the groups anew. Those that leave are kept beside the part in use, since requests may
-   * still be at work there.
+   * Rebuilds the groups. Leaving servers are kept in addition to the selected ones, since they may
+   * still be executing requests.
    */
-  void form(Collection<ServerPool> all) {
+  void rebuild(Collection<ServerPool> all) {
     Map<String, List<ServerPool>> accepting = new HashMap<>();
     Map<String, List<ServerPool>> leaving = new HashMap<>();
     for (ServerPool pool : all) {
@@ -76,12 +78,12 @@
     }
     unavailable = unavailable(all);
     byService.clear();
-    parts.clear();
+    subsetShares.clear();
     accepting.forEach(
         (service, pools) -> {
-          List<ServerPool> used = used(pools);
-          parts.put(service, used.size() / (double) pools.size());
-          byService.put(service, withColdOnes(used, pools));
+          List<ServerPool> selected = selected(pools);
+          subsetShares.put(service, selected.size() / (double) pools.size());
+          byService.put(service, withColdServers(selected, pools));
         });
     leaving.forEach(
         (service, pools) ->
@@ -89,20 +91,21 @@
   }
 
   /**
-   * The part in use and the cold servers that this instance was drawn for. Few are, so a server
-   * that has just come would wait long for its first request if they had to use it anyway.
+   * Returns the selected servers and the cold servers that this instance is selected to send to.
+   * Only a few instances are, so a server that has just started would wait long for its first
+   * request if it also had to be in the subset of one of them.
    */
-  private List<ServerPool> withColdOnes(List<ServerPool> used, List<ServerPool> all) {
-    Set<ServerPool> chosen = new LinkedHashSet<>(used);
+  private List<ServerPool> withColdServers(List<ServerPool> selected, List<ServerPool> all) {
+    Set<ServerPool> result = new LinkedHashSet<>(selected);
     for (ServerPool pool : all) {
-      if (pool.state().cold(clocks.nanos()) && coldServers.drawn(pool.state())) {
-        chosen.add(pool);
+      if (pool.state().cold(clocks.nanos()) && coldServers.selected(pool.state())) {
+        result.add(pool);
       }
     }
-    return new ArrayList<>(chosen);
+    return new ArrayList<>(result);
   }
 
-  private List<ServerPool> used(List<ServerPool> pools) {
+  private List<ServerPool> selected(List<ServerPool> pools) {
     Mechanisms mechanisms = settings.mechanisms();
     Set<ServerPool> avoided = mechanisms.on(Mechanism.REPLACEMENTS) ? unavailable : Set.of();
     return mechanisms.on(Mechanism.SUBSET)
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerNotices.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerNotices.java
@@ -8,7 +8,7 @@
 import org.magnoliaswitch.front.load.ServerState;
 
 /**
- * Takes what backend servers ask of their callers, and tells when it changes; used by one thread.
+ * Applies the backpressure notices of backend servers and logs their changes; used by one thread.
  */
 public final class ServerNotices {
   private final ServerDirectory servers;
@@ -24,56 +24,56 @@
   }
 
   /**
-   * Takes the notice in the answer to a request that the server has run.
+   * Applies the notice in the response to a request that the server has executed.
    *
    * @param sentNanos when the request was sent
    */
   public void answered(ServerState server, ServerNotice notice, long sentNanos) {
     Before before = new Before(server.backpressure());
     server.backpressure().answered(notice, sentNanos, clocks.nanos());
-    taken(server, notice, before);
+    handleChanges(server, notice, before);
   }
 
-  /** Takes the notice in the answer to a health check or to a request that was turned away. */
+  /** Applies the notice in the response to a health check or to a rejected request. */
   public void received(ServerState server, ServerNotice notice) {
     Before before = new Before(server.backpressure());
     server.backpressure().take(notice, clocks.nanos());
-    taken(server, notice, before);
+    handleChanges(server, notice, before);
   }
 
-  /** What a server asked for before an answer. */
+  /** Backpressure of a server before a notice is applied. */
   private record Before(boolean leaving, OptionalDouble limit) {
     Before(Backpressure backpressure) {
       this(backpressure.leaving(), backpressure.requestsPerSecond());
     }
   }
 
-  private void taken(ServerState server, ServerNotice notice, Before before) {
+  private void handleChanges(ServerState server, ServerNotice notice, Before before) {
     OptionalDouble limit = server.backpressure().requestsPerSecond();
     if (!limit.equals(before.limit())) {
-      tellLimit(server, limit);
+      logLimit(server, limit);
     }
     if (server.backpressure().leaving() && !before.leaving()) {
-      servers.leaving(server);
-      tell("server_leaving", server).write();
+      servers.handleLeaving(server);
+      line("server_leaving", server).write();
     }
     if (notice.pauseNanos() > 0) {
-      servers.paused();
-      tell("server_pause", server)
+      servers.handlePause();
+      line("server_pause", server)
           .add("pause_ms", TimeUnit.NANOSECONDS.toMillis(notice.pauseNanos()))
           .write();
     }
   }
 
-  private void tellLimit(ServerState server, OptionalDouble perSecond) {
+  private void logLimit(ServerState server, OptionalDouble perSecond) {
     if (perSecond.isPresent()) {
-      tell("server_limit", server).addDecimal("per_second", perSecond.getAsDouble()).write();
+      line("server_limit", server).addDecimal("per_second", perSecond.getAsDouble()).write();
     } else {
-      tell("server_limit_lifted", server).write();
+      line("server_limit_lifted", server).write();
     }
   }
 
-  private EventLog.Line tell(String event, ServerState server) {
+  private EventLog.Line line(String event, ServerState server) {
     metrics.count("server.notices", server.entry().service(), event);
     return log.stateChange(event)
         .add("server", server.entry().id())
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerQuotas.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerQuotas.java
@@ -9,13 +9,13 @@
 import org.magnoliaswitch.front.load.ServerState;
 
 /**
- * What this instance may send to servers that take fewer requests than they could run: while their
- * caches are cold, or because they asked for it; used by one thread.
+ * Limits the requests of this instance to servers that accept fewer requests than they have slots
+ * for, because their caches are cold or because they asked for it; used by one thread.
  */
 public final class ServerQuotas {
   /**
-   * After this time without a word of its server a limit is put to the test with one request, or an
-   * instance without a share would never hear that it has ended.
+   * A limit that its server has not repeated for this time is tested with one request. Otherwise an
+   * instance without a share would never notice that the limit has been lifted.
    */
   private static final long LIMIT_TRIAL_NANOS = TimeUnit.SECONDS.toNanos(30);
 
@@ -25,46 +25,52 @@
   private final Clocks clocks;
   private final InstanceCount instances;
   private final ColdServerQuotas coldServers;
-  private final ToDoubleFunction<String> part;
+  private final ToDoubleFunction<String> subsetShare;
   private final ShareCache<Limit, RateLimitShare> shares;
 
-  /** The limit of a server, and the part of its service's servers that each instance sends to. */
-  private record Limit(String incarnation, double perSecond, double part) {}
+  /**
+   * What a share depends on: the limit of a server, and the share of its service's servers that
+   * each instance sends to.
+   */
+  private record Limit(String incarnation, double perSecond, double subsetShare) {}
 
   /**
-   * Creates one without limits.
+   * Creates quotas without limits.
    *
-   * @param part share of a service's servers that each instance sends to
+   * @param subsetShare returns the share of a service's servers that each instance sends to
    */
   public ServerQuotas(
       FrontSettings settings,
       Clocks clocks,
       InstanceCount instances,
       ColdServerQuotas coldServers,
-      ToDoubleFunction<String> part) {
+      ToDoubleFunction<String> subsetShare) {
     this.settings = settings;
     this.clocks = clocks;
     this.instances = instances;
     this.coldServers = coldServers;
-    this.part = part;
+    this.subsetShare = subsetShare;
     this.shares = new ShareCache<>(instances, this::share);
   }
 
-  /** Whether a request may be sent to a server now. */
+  /** Whether this instance may send a request to a server now. */
   public boolean allowed(ServerState server) {
-    return coldServers.allowed(server) && askedWaitNanos(server) == 0;
+    return coldServers.allowed(server) && requestedWaitNanos(server) == 0;
   }
 
   /**
-   * Least time until a server that gets nothing now may get a request of this instance; {@link
-   * ServerState#NEVER} if that cannot be foreseen.
+   * Returns the minimum time until this instance may send a request to a server that is blocked
+   * now; {@link ServerState#NEVER} if that cannot be predicted.
    */
   public long waitNanos(ServerState server) {
-    return coldServers.drawn(server) ? askedWaitNanos(server) : ServerState.NEVER;
+    return coldServers.selected(server) ? requestedWaitNanos(server) : ServerState.NEVER;
   }
 
-  /** The same as far as what the server asked for decides it. */
-  private long askedWaitNanos(ServerState server) {
+  /**
+   * Returns the minimum time until the limit and the pause that a server has requested permit a
+   * request.
+   */
+  private long requestedWaitNanos(ServerState server) {
     long pause = server.backpressure().pauseLeftNanos(clocks.nanos());
     return Math.max(pause, limitWaitNanos(server));
   }
@@ -74,26 +80,26 @@
     if (perSecond.isEmpty()) {
       return 0;
     }
-    // An instance that knows of few others would take far too large a share.
-    long unsettled = instances.settlesInNanos();
+    // An instance that knows only a few others yet would compute far too large a share.
+    long unsettled = instances.untilSettledNanos();
     return unsettled > 0
         ? unsettled
         : server.waitNanos(share(server, perSecond.getAsDouble()), clocks.nanos());
   }
 
   private RateLimitShare share(ServerState server, double perSecond) {
-    RateLimitShare share = shares.of(limit(server, perSecond));
-    boolean unheard = server.backpressure().limitAgeNanos(clocks.nanos()) > LIMIT_TRIAL_NANOS;
-    return unheard && share.mostInSpan() == 0 ? TRIAL : share;
+    RateLimitShare share = shares.get(limit(server, perSecond));
+    boolean unconfirmed = server.backpressure().limitAgeNanos(clocks.nanos()) > LIMIT_TRIAL_NANOS;
+    return unconfirmed && share.mostInSpan() == 0 ? TRIAL : share;
   }
 
   private Limit limit(ServerState server, double perSecond) {
-    double used = part.applyAsDouble(server.entry().service());
+    double used = subsetShare.applyAsDouble(server.entry().service());
     return new Limit(server.entry().incarnation(), perSecond, used);
   }
 
   private RateLimitShare share(Limit limit) {
     SenderDraw draw = instances.draw(settings.instance(), limit.incarnation());
-    return RateLimitShare.of(limit.perSecond(), draw, limit.part());
+    return RateLimitShare.of(limit.perSecond(), draw, limit.subsetShare());
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/ShareCache.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ShareCache.java
@@ -7,36 +7,36 @@
 import org.magnoliaswitch.front.load.InstancePlace;
 
 /**
- * Keeps this instance's shares of what all instances together may send, until the number of
- * instances or its place among them changes; used by one thread. A share is looked up in each
- * search, and takes a while to work out.
+ * Caches this instance's shares of limits on all instances together, until the number of instances
+ * or its index among them changes; used by one thread. Each search for a server looks up shares,
+ * and computing one is expensive.
  *
- * @param <K> what a share is worked out from besides
- * @param <S> the share
+ * @param <K> what a share depends on besides the instances
+ * @param <S> type of a share
  */
 final class ShareCache<K, S> {
-  private static final int MOST_SHARES = 2_000;
+  private static final int MAX_SHARES = 2_000;
 
   private final InstanceCount instances;
-  private final Function<K, S> workOut;
+  private final Function<K, S> compute;
   private final Map<K, S> shares = new HashMap<>();
   private Basis basis = new Basis(0, Optional.empty());
 
-  /** What all shares are worked out from. */
+  /** The state of the instances that all shares depend on. */
   private record Basis(int instances, Optional<InstancePlace> place) {}
 
-  ShareCache(InstanceCount instances, Function<K, S> workOut) {
+  ShareCache(InstanceCount instances, Function<K, S> compute) {
     this.instances = instances;
-    this.workOut = workOut;
+    this.compute = compute;
   }
 
-  /** The share for a key. */
-  S of(K key) {
+  /** Returns the share for a key, which is computed if it is not cached. */
+  S get(K key) {
     Basis now = new Basis(instances.count(), instances.place());
-    if (!now.equals(basis) || shares.size() >= MOST_SHARES) {
+    if (!now.equals(basis) || shares.size() >= MAX_SHARES) {
       shares.clear();
       basis = now;
     }
-    return shares.computeIfAbsent(key, workOut);
+    return shares.computeIfAbsent(key, compute);
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/StatePoller.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StatePoller.java
@@ -41,7 +41,7 @@
   private final Listener listener;
   private final BooleanSupplier hearsPeers;
   private final CrashArchive archive;
-  private final DiscoveryReconciler keeper = new DiscoveryReconciler();
+  private final DiscoveryReconciler reconciler = new DiscoveryReconciler();
   private final Freshness operatorState;
   private final Freshness servers = new Freshness();
   private final long startedNanos;
@@ -115,7 +115,7 @@
     long now = clocks.nanos();
     offer(new OperatorState(routes(news), news.evacuations()), "peer");
     if (list.version() > knownState.servers().version()) {
-      keeper.adopt(list, now);
+      reconciler.adopt(list, now);
       knownState.offer(list);
     }
     if (list.known() && news.evacuations().known()) {
@@ -154,7 +154,7 @@
 
   private void check() {
     long uptime = TimeUnit.NANOSECONDS.toMillis(clocks.nanos() - startedNanos);
-    long wait = Math.min(plan.untilRead(ageOfOwnReadsMillis(), uptime), untilReleaseMillis());
+    long wait = Math.min(plan.untilRead(ageOfOwnReadsMillis(), uptime), untilRetentionEndsMillis());
     if (wait <= 0 || changesMissed) {
       read();
     } else {
@@ -172,8 +172,8 @@
     nextCheck = loop.afterMillis(millis, this::check);
   }
 
-  private long untilReleaseMillis() {
-    OptionalLong nanos = keeper.untilReleaseNanos(clocks.nanos());
+  private long untilRetentionEndsMillis() {
+    OptionalLong nanos = reconciler.untilRetentionEndsNanos(clocks.nanos());
     if (nanos.isEmpty()) {
       return Long.MAX_VALUE;
     }
@@ -259,7 +259,7 @@
           log.stateChange("source_regained").add("version", knownState.routesVersion()).write();
           sourceLost = false;
         }
-        knownState.offer(keeper.read(known.value(), clocks.nanos()));
+        knownState.offer(reconciler.reconcile(known.value(), clocks.nanos()));
         servers.confirmed(asOf);
         listener.changed();
         listener.readItself();
@@ -283,7 +283,7 @@
         .add("configuration_age_ms", operatorStateAgeMillis())
         .write();
     environment.metrics().count("platform.reads", "", "failed");
-    keeper.failed();
+    reconciler.readFailed();
     if (!sourceLost) {
       log.stateChange("source_lost")
           .add("reading", what)
--- a/front/src/main/java/org/magnoliaswitch/front/process/StateSource.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StateSource.java
@@ -5,54 +5,54 @@
 import org.magnoliaswitch.front.version.OperatorState;
 import org.magnoliaswitch.front.version.ServerList;
 
-/** Where configuration and discovery come from; callbacks run on the control event loop. */
+/** Source of configuration and discovery; callbacks run on the control event loop. */
 public interface StateSource {
-  /** Makes the source of a process. */
+  /** Creates the source of a process. */
   interface Factory {
     /**
-     * Makes a source.
+     * Creates a source.
      *
-     * @param loop where its callbacks run
-     * @param log where it tells what it leaves out
-     * @param metrics where it counts that
+     * @param loop event loop of its callbacks
+     * @param log receives a line about what the source skips
+     * @param metrics counts what the source skips
      */
     StateSource create(Loop loop, EventLog log, FrontMetrics metrics);
   }
 
   /**
-   * How a read ended.
+   * Result of a read.
    *
-   * @param <T> what was read
+   * @param <T> type of the value
    */
   sealed interface Read<T> {
-    /** A value as of one moment. */
+    /** A value that was current at one point in time. */
     record Known<T>(T value) implements Read<T> {}
 
-    /** The source answered and there is nothing new. */
+    /** The source responded that the value has not changed. */
     record Unchanged<T>() implements Read<T> {}
 
     /**
-     * No useful answer.
+     * The read failed.
      *
-     * @param reason one word for the log
+     * @param reason single word for the log
      */
     record Failed<T>(String reason) implements Read<T> {}
   }
 
-  /** Reads what operators have declared. */
+  /** Reads the state that operators have declared. */
   void operatorState(Consumer<Read<OperatorState>> listener);
 
   /**
-   * Waits for a change of what operators have declared since the last read.
+   * Waits for a change of the declared state since the last read.
    *
-   * <p>The answer {@link Read.Unchanged} after the longest wait is usual; {@link Read.Failed} also
-   * says that changes may have been missed.
+   * <p>The result {@link Read.Unchanged} after the maximum wait is normal; {@link Read.Failed} also
+   * means that changes may have been missed.
    *
-   * @param waitMillis longest wait for a change
+   * @param waitMillis maximum wait for a change
    */
   void nextOperatorState(long waitMillis, Consumer<Read<OperatorState>> listener);
 
-  /** Where ends of servers under requests are kept. */
+  /** Returns the store for server crashes; by default one that stores nothing. */
   default CrashStore crashStore() {
     return CrashStore.NONE;
   }
--- a/front/src/main/java/org/magnoliaswitch/front/process/StateSync.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StateSync.java
@@ -134,7 +134,7 @@
    */
   private void share(CrashWatch.Lesson lesson) {
     if (lesson.source() == CrashWatch.Source.OWN) {
-      archive.own(lesson.news());
+      archive.recordOwn(lesson.news());
       toReport.addAll(lesson.news());
     }
     if (toTell.isEmpty()) {
@@ -308,7 +308,7 @@
       most = Math.max(most, count);
     }
     if (most > 1) {
-      environment.instances().learnt(most);
+      environment.instances().update(most);
     }
     firstPlace().ifPresent(this::placed);
   }
--- a/front/src/main/java/org/magnoliaswitch/front/process/StatusListener.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StatusListener.java
@@ -23,15 +23,15 @@
 import org.magnoliaswitch.front.loop.Channels;
 import org.magnoliaswitch.front.loop.Loop;
 
-/** Answers short status questions over HTTP: readiness, metrics. */
+/** Serves a short status page over HTTP, such as readiness or metrics. */
 public final class StatusListener {
   /**
-   * What is answered.
+   * Content of a response.
    *
-   * @param good 200 or else 503
-   * @param text body
+   * @param healthy whether the status is 200; otherwise it is 503
+   * @param text body of the response
    */
-  public record Status(boolean good, String text) {}
+  public record Status(boolean healthy, String text) {}
 
   private final Loop loop;
   private final Supplier<Status> source;
@@ -83,7 +83,7 @@
       FullHttpResponse response =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1,
-              status.good() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+              status.healthy() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
               Unpooled.wrappedBuffer(status.text().getBytes(StandardCharsets.UTF_8)));
       response.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
       response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
--- a/front/src/main/java/org/magnoliaswitch/front/process/package-info.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/package-info.java
@@ -1,4 +1,7 @@
-/** What lives as long as the process: news, readiness, stop, logs, metrics, wiring. */
+/**
+ * Components that live as long as the process: state synchronization, readiness, shutdown, event
+ * log, metrics.
+ */
 @NullMarked
 package org.magnoliaswitch.front.process;
 
--- a/front/src/test/java/org/magnoliaswitch/front/process/BackpressureMemoryTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/BackpressureMemoryTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What servers asked for, over the time in which discovery does not list them. */
+/** Tests the backpressure of servers that discovery temporarily does not list. */
 public final class BackpressureMemoryTest {
   private static final ServerNotice LEAVING = new ServerNotice(true, OptionalDouble.empty(), 0);
   private static final ServerEntry ENTRY = Servers.entry("a", false);
@@ -21,48 +21,51 @@
   private BackpressureMemory memory;
 
   @BeforeMethod
-  public void start() {
+  public void createMemory() {
     memory = new BackpressureMemory();
   }
 
-  private void keepLeaving(ServerEntry entry) {
+  private void storeLeaving(ServerEntry entry) {
     ServerState state = new ServerState(entry, 0);
     state.backpressure().answered(LEAVING, 0, 0);
-    memory.keep(state);
+    memory.store(state);
   }
 
   @Test
-  public void holdsForTheSameIncarnation() {
-    keepLeaving(ENTRY);
-    assertTrue(memory.of(ENTRY).leaving());
+  public void appliesToSameIncarnation() {
+    storeLeaving(ENTRY);
+    assertTrue(memory.take(ENTRY).leaving());
   }
 
-  /** Guards against a limit or a pause that is forgotten when the list of servers is rebuilt. */
+  /** Guards against limits and pauses that are lost when a server is missing from one list. */
   @Test
-  public void keepsLimitsAndPauses() {
+  public void storesLimitsAndPauses() {
     ServerState state = new ServerState(ENTRY, 0);
     state.backpressure().answered(new ServerNotice(false, OptionalDouble.of(4.6), 100), 0, 0);
-    memory.keep(state);
-    Backpressure kept = memory.of(ENTRY);
+    memory.store(state);
+    Backpressure kept = memory.take(ENTRY);
     assertTrue(kept.requestsPerSecond().isPresent());
     assertEquals(kept.pauseLeftNanos(40), 60);
   }
 
-  /** Guards against a server that gets nothing because the process before it left. */
+  /**
+   * Guards against a restarted server that receives no requests because its earlier incarnation was
+   * leaving.
+   */
   @Test
-  public void doesNotHoldForTheNextIncarnation() {
-    keepLeaving(ENTRY);
-    assertFalse(memory.of(Servers.restarted(ENTRY)).leaving());
+  public void doesNotApplyToNextIncarnation() {
+    storeLeaving(ENTRY);
+    assertFalse(memory.take(Servers.restarted(ENTRY)).leaving());
   }
 
-  /** Guards against a memory that grows with every server that ever was. */
+  /** Guards against unbounded growth with the number of servers ever listed. */
   @Test
-  public void theOldestAreForgotten() {
-    keepLeaving(ENTRY);
+  public void oldestEntriesAreRemoved() {
+    storeLeaving(ENTRY);
     for (int i = 0; i < 1_000; i++) {
-      keepLeaving(Servers.entry("s" + i, false));
+      storeLeaving(Servers.entry("s" + i, false));
     }
-    assertFalse(memory.of(ENTRY).leaving());
-    assertTrue(memory.of(Servers.entry("s999", false)).leaving());
+    assertFalse(memory.take(ENTRY).leaving());
+    assertTrue(memory.take(Servers.entry("s999", false)).leaving());
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/process/ColdServerQuotasTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ColdServerQuotasTest.java
@@ -18,13 +18,13 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What one instance sends to a server that is cold. */
+/** Tests how many requests one instance sends to a cold server. */
 public final class ColdServerQuotasTest {
   private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
   private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
   private static final long SPAN = 3 * SECOND;
 
-  /** Of an instance that shares with one other. */
+  /** Requests per second of one of two instances. */
   private static final int SHARE = 3;
 
   private PausedClock time;
@@ -32,16 +32,18 @@
   private ColdServerQuotas coldServers;
   private ServerState server;
 
-  /** A server that bears six requests a second while it is cold, and two instances. */
+  /**
+   * Sets up two instances and a server that can handle six requests per second while it is cold.
+   */
   @BeforeMethod
-  public void start() {
+  public void createQuotas() {
     time = new PausedClock();
     instances = new InstanceCount(2, time.clocks());
-    coldServers = sends(new Warmup(SPAN, 2 * SHARE));
+    coldServers = quotas(new Warmup(SPAN, 2 * SHARE));
     server = new ServerState(Servers.entry("a", false), time.read());
   }
 
-  private ColdServerQuotas sends(Warmup warmup) {
+  private ColdServerQuotas quotas(Warmup warmup) {
     RouteTable routes =
         new RouteTable(
             1,
@@ -65,20 +67,23 @@
   }
 
   /**
-   * A server comes back cold while callers wait in line here. It must get no more than this
-   * instance's share in any second, or it ends under what all of them send.
+   * Guards against a cold server that crashes under the queued requests of all instances: in any
+   * second it may receive no more than this instance's share.
    */
   @Test
-  public void aColdServerGetsNoMoreThanTheShareInASecond() {
+  public void coldServerReceivesNoMoreThanShareInOneSecond() {
     time.advance(10 * SECOND);
     server.assumeCold(SPAN, time.read());
     assertEquals(sendAll(SECOND), SHARE);
     assertEquals(sendAll(SECOND), SHARE);
   }
 
-  /** It has cooled a moment ago: what it got before this was known counts as well. */
+  /**
+   * Guards against a burst when a server becomes cold: requests sent before this was known count
+   * towards the share.
+   */
   @Test
-  public void whatWasSentBeforeItCooledCounts() {
+  public void requestsSentBeforeServerBecameColdCount() {
     time.advance(10 * SECOND);
     server.written(time.read());
     server.written(time.read());
@@ -87,53 +92,59 @@
   }
 
   @Test
-  public void aWarmServerGetsAll() {
+  public void warmServerReceivesAllRequests() {
     assertEquals(sendAll(SECOND), SECOND / MILLI);
   }
 
   /**
-   * All instances start at once, each knows of few others, and their callers return together. Each
-   * would take far too large a share of a cold server, so none takes any yet.
+   * Guards against shares that are far too large when all instances start at once and each knows
+   * only a few others: until the count has settled, none sends to a cold server.
    */
   @Test
-  public void rightAfterTheStartAColdServerGetsNothing() {
+  public void coldServerReceivesNothingRightAfterStart() {
     server.assumeCold(SPAN, time.read());
     assertFalse(coldServers.allowed(server));
     time.advance(2 * SECOND);
     assertTrue(coldServers.allowed(server));
   }
 
-  /** Others have joined, and the share that was worked out before would be too large now. */
+  /** Guards against a cached share that is too large once other instances have joined. */
   @Test
-  public void aShareFollowsTheNumberOfInstances() {
+  public void shareFollowsNumberOfInstances() {
     time.advance(10 * SECOND);
     server.assumeCold(SPAN, time.read());
     assertEquals(sendAll(SECOND), SHARE);
-    instances.learnt(2 * SHARE);
+    instances.update(2 * SHARE);
     assertEquals(sendAll(SECOND), 1);
   }
 
-  /** Servers of a service that declares nothing bear requests from their first moment on. */
+  /**
+   * Servers of a service without declared warm-up limits can handle requests as soon as they have
+   * started.
+   */
   @Test
-  public void withoutADeclarationNothingIsHeldBack() {
-    coldServers = sends(Warmup.UNLIMITED);
+  public void requestsAreUnlimitedWithoutDeclaration() {
+    coldServers = quotas(Warmup.UNLIMITED);
     server.assumeCold(SPAN, time.read());
     assertTrue(coldServers.allowed(server));
   }
 
-  /** Nobody listens at a server's address: its process has ended, and the next one starts cold. */
+  /** A server at whose address no process listens has crashed, and its next process starts cold. */
   @Test
-  public void aServerThatCouldNotBeReachedCountsAsCold() {
+  public void unreachableServerCountsAsCold() {
     time.advance(10 * SECOND);
-    coldServers.unreachable(server);
+    coldServers.assumeCold(server);
     assertTrue(server.cold(time.read()));
     server.warmupTold(0, time.read());
     assertFalse(server.cold(time.read()));
   }
 
-  /** Entries are seconds old: one that says warm must not end a warm-up that began since. */
+  /**
+   * Guards against an outdated discovery entry that ends a warm-up which began after it was
+   * written.
+   */
   @Test
-  public void anEntryDoesNotEndAWarmup() {
+  public void discoveryEntryDoesNotEndWarmup() {
     server.warmupTold(SPAN, time.read());
     server.update(Servers.entry("a", false), time.read());
     assertTrue(server.cold(time.read()));
--- a/front/src/test/java/org/magnoliaswitch/front/process/CrashArchiveTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/CrashArchiveTest.java
@@ -22,7 +22,9 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Ends of servers under requests in a store that forgets, stays silent or is changed by others. */
+/**
+ * Tests server crashes in a store that loses rows, does not confirm writes or is changed by others.
+ */
 public final class CrashArchiveTest {
   private static final RequestIdentity REQUEST = new RequestIdentity(1, 2);
 
@@ -30,7 +32,7 @@
   private Store store = new Store();
   private CrashArchive archive = archive();
 
-  /** A store that a test fills and looks into. */
+  /** A store whose rows a test sets and whose changes it inspects. */
   private static final class Store implements CrashStore {
     private final List<StoredCrash> rows = new ArrayList<>();
     private final BlockingQueue<List<CrashReport.Ended>> puts = new LinkedBlockingQueue<>();
@@ -47,7 +49,7 @@
         Collection<CrashReport.Ended> added,
         Collection<CrashReport.Ended> removed,
         Consumer<Boolean> done) {
-      // Whoever takes the puts may change the answer at once: this call has the one before.
+      // The test may change the result as soon as it has received the puts, so it is read before.
       boolean confirmed = confirms.get();
       if (!added.isEmpty()) {
         puts.add(List.copyOf(added));
@@ -64,7 +66,7 @@
   }
 
   @BeforeMethod
-  public void forget() {
+  public void createArchive() {
     environment.loop().stop();
     environment = TestEnvironment.unknowing();
     store = new Store();
@@ -87,11 +89,11 @@
     done.await();
   }
 
-  private void sees(CrashReport.Ended... reports) throws InterruptedException {
+  private void observe(CrashReport.Ended... reports) throws InterruptedException {
     onLoop(
         () -> {
           environment.crashes().heard(List.of(reports), CrashWatch.Source.OWN);
-          archive.own(List.of(reports));
+          archive.recordOwn(List.of(reports));
         });
   }
 
@@ -100,35 +102,41 @@
   }
 
   @Test
-  public void twoEndsAreWrittenAtOnce() throws InterruptedException {
-    sees(ended("a"), ended("b"));
+  public void twoCrashesAreWrittenAtOnce() throws InterruptedException {
+    observe(ended("a"), ended("b"));
     assertEquals(Set.copyOf(store.puts.take()), Set.of(ended("a"), ended("b")));
   }
 
-  /** A server crashes under a bystander, which a second one answers: the store hears nothing. */
+  /**
+   * Guards against writes for bystanders: a second server answers the request before the delay has
+   * passed.
+   */
   @Test
-  public void whatIsClearedInTimeIsNotWritten() throws InterruptedException {
-    sees(ended("a"));
+  public void crashClearedInTimeIsNotWritten() throws InterruptedException {
+    observe(ended("a"));
     environment.crashes().answered(List.of(REQUEST), "b", environment.clocks().nanos());
     RequestIdentity other = new RequestIdentity(3, 4);
     CrashReport.Ended later = new CrashReport.Ended(other, "c", false);
-    sees(later);
+    observe(later);
     assertEquals(store.puts.take(), List.of(later));
   }
 
-  /** The store answers nothing for a while: the end is written once it does again. */
+  /** Guards against crashes that are lost because the store did not confirm their write. */
   @Test
-  public void whatWasNotConfirmedIsWrittenAgain() throws InterruptedException {
+  public void unconfirmedWriteIsRepeated() throws InterruptedException {
     store.confirms.set(false);
-    sees(ended("a"), ended("b"));
+    observe(ended("a"), ended("b"));
     List<CrashReport.Ended> first = store.puts.take();
     store.confirms.set(true);
     assertEquals(store.puts.take(), first);
   }
 
-  /** All instances were lost: the first read tells those that started what was known before. */
+  /**
+   * Guards against suspicions that are lost with all instances: the first read after a start
+   * restores them.
+   */
   @Test
-  public void aStartedInstanceLearnsFromTheStore() throws InterruptedException {
+  public void startedInstanceReadsCrashesFromStore() throws InterruptedException {
     store.rows.add(now(ended("a")));
     store.rows.add(now(ended("b")));
     store.rows.add(now(new CrashReport.Ended(REQUEST, "c", true)));
@@ -136,9 +144,9 @@
     assertEquals(environment.crashes().table().standing(REQUEST), SuspicionLevel.CONFIRMED);
   }
 
-  /** An operator removes the rows of a request, since its servers are mended. */
+  /** An operator removes the rows of a request after its servers have been fixed. */
   @Test
-  public void rowsThatAreTakenAwayLiftTheSuspicion() throws InterruptedException {
+  public void removedRowsClearSuspicion() throws InterruptedException {
     store.rows.add(now(ended("a")));
     store.rows.add(now(ended("b")));
     onLoop(() -> archive.read());
@@ -148,20 +156,20 @@
   }
 
   /**
-   * An instance writes an end while another's read is under way, and reads it again only later. A
-   * row that no read has shown yet was not taken away.
+   * Guards against clearing a suspicion because a read, which overtook this instance's own write,
+   * lacks its row. A row that no read has returned yet has not been removed.
    */
   @Test
-  public void aReadThatMissesAnOwnWriteLiftsNothing() throws InterruptedException {
-    sees(ended("a"), ended("b"));
+  public void readWithoutOwnWriteClearsNothing() throws InterruptedException {
+    observe(ended("a"), ended("b"));
     assertTrue(store.puts.take().size() > 0);
     onLoop(() -> archive.read());
     assertEquals(environment.crashes().table().endsUnder(REQUEST), Set.of("a", "b"));
   }
 
   @Test
-  public void clearedAndOldRowsAreRemoved() throws InterruptedException {
-    sees(ended("a"), ended("b"));
+  public void clearedAndExpiredRowsAreRemoved() throws InterruptedException {
+    observe(ended("a"), ended("b"));
     environment.crashes().answered(List.of(REQUEST), "c", environment.clocks().nanos());
     CrashReport.Ended old = new CrashReport.Ended(new RequestIdentity(5, 6), "d", false);
     long yesterday = environment.clocks().millis() - TimeUnit.DAYS.toMillis(1) - 1;
--- a/front/src/test/java/org/magnoliaswitch/front/process/DiscoveryReconcilerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/DiscoveryReconcilerTest.java
@@ -12,7 +12,7 @@
 import org.magnoliaswitch.front.version.ServerList;
 import org.testng.annotations.Test;
 
-/** Which servers exist after reads that fail. */
+/** Tests which servers exist after failed reads. */
 public final class DiscoveryReconcilerTest {
   private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
@@ -24,125 +24,126 @@
     return new ServerList(version, servers);
   }
 
-  private static Set<String> read(DiscoveryReconciler keeper, long now, ServerList list) {
-    return keeper.read(list, now).servers().keySet();
+  private static Set<String> read(DiscoveryReconciler reconciler, long now, ServerList list) {
+    return reconciler.reconcile(list, now).servers().keySet();
   }
 
-  /** While the store answers. */
+  /** The store is available. */
   public static final class Ordinary {
     @Test
-    public void aMissingEntryIsGoneAtOnce() {
-      DiscoveryReconciler keeper = new DiscoveryReconciler();
-      read(keeper, 0, list(1, "a", "b"));
-      assertEquals(read(keeper, SECOND, list(2, "a")), Set.of("a"));
+    public void missingEntryIsDroppedAtOnce() {
+      DiscoveryReconciler reconciler = new DiscoveryReconciler();
+      read(reconciler, 0, list(1, "a", "b"));
+      assertEquals(read(reconciler, SECOND, list(2, "a")), Set.of("a"));
     }
   }
 
-  /** Servers that start again under the id that they had. */
+  /** Servers that restart under the same id. */
   public static final class Restarts {
     private static ServerList list(long version, ServerEntry entry) {
       return new ServerList(version, Map.of(entry.id(), entry));
     }
 
-    /** The old process writes once more after the new one has registered. */
+    /** Guards against an entry that the old process writes after the new one has registered. */
     @Test
-    public void aLaterIncarnationIsNotReplacedByAnEarlierOne() {
-      DiscoveryReconciler keeper = new DiscoveryReconciler();
+    public void laterIncarnationIsNotReplacedByEarlierOne() {
+      DiscoveryReconciler reconciler = new DiscoveryReconciler();
       ServerEntry later = Servers.restarted(Servers.entry("a", false));
-      keeper.read(list(1, later), 0);
-      ServerList read = keeper.read(list(2, Servers.entry("a", true)), SECOND);
+      reconciler.reconcile(list(1, later), 0);
+      ServerList read = reconciler.reconcile(list(2, Servers.entry("a", true)), SECOND);
       assertEquals(read.servers().get("a"), later);
     }
 
     /**
-     * The store was away while the server started again: what it lists is newer than what is kept.
+     * Guards against a retained entry that replaces a newer one: the server has restarted during
+     * the outage.
      */
     @Test
-    public void afterAnOutageTheNewIncarnationIsBelieved() {
-      DiscoveryReconciler keeper = new DiscoveryReconciler();
-      keeper.read(list(1, Servers.entry("a", false)), 0);
-      keeper.failed();
+    public void newIncarnationIsUsedAfterOutage() {
+      DiscoveryReconciler reconciler = new DiscoveryReconciler();
+      reconciler.reconcile(list(1, Servers.entry("a", false)), 0);
+      reconciler.readFailed();
       ServerEntry later = Servers.restarted(Servers.entry("a", false));
-      assertEquals(keeper.read(list(9, later), 10 * SECOND).servers().get("a"), later);
+      assertEquals(reconciler.reconcile(list(9, later), 10 * SECOND).servers().get("a"), later);
     }
   }
 
-  /** After the store was away. */
-  public static final class AfterAnOutage {
+  /** After an outage of the store. */
+  public static final class AfterOutage {
     /**
-     * The store was down, so the entries of living servers lapsed. Callers would get nothing but
-     * refusals until the servers are listed again, although all of them serve.
+     * Guards against rejecting all requests after an outage of the store, in which the entries of
+     * live servers have expired.
      */
     @Test
-    public void lapsedEntriesAreKeptUntilTheyHadTimeToComeBack() {
-      DiscoveryReconciler keeper = new DiscoveryReconciler();
-      read(keeper, 0, list(1, "a", "b"));
-      keeper.failed();
-      assertEquals(read(keeper, 10 * SECOND, list(9)), Set.of("a", "b"));
-      assertEquals(read(keeper, 11 * SECOND, list(10, "a")), Set.of("a", "b"));
-      assertEquals(read(keeper, 13 * SECOND, list(11, "a")), Set.of("a"));
+    public void expiredEntriesAreRetainedUntilServersCouldRegister() {
+      DiscoveryReconciler reconciler = new DiscoveryReconciler();
+      read(reconciler, 0, list(1, "a", "b"));
+      reconciler.readFailed();
+      assertEquals(read(reconciler, 10 * SECOND, list(9)), Set.of("a", "b"));
+      assertEquals(read(reconciler, 11 * SECOND, list(10, "a")), Set.of("a", "b"));
+      assertEquals(read(reconciler, 13 * SECOND, list(11, "a")), Set.of("a"));
     }
 
     /**
-     * The store came back and nothing has changed there since, so its version stands still. The
-     * list without the server that is gone must be newer than the one that kept it, or callers'
-     * requests would go to that server until something else changes.
+     * Guards against requests to a departed server after an outage. The version of the store does
+     * not change while its entries stay the same, so the list without the server must count as
+     * newer than the one that retained it.
      */
     @Test
-    public void theListWithoutKeptEntriesIsNewerThoughTheStoreIsQuiet() {
-      DiscoveryReconciler keeper = new DiscoveryReconciler();
-      read(keeper, 0, list(1, "a", "b"));
-      keeper.failed();
-      long kept = keeper.read(list(9, "a"), 10 * SECOND).version();
-      long dropped = keeper.read(list(9, "a"), 13 * SECOND).version();
-      assertTrue(dropped > kept, kept + " to " + dropped);
+    public void listWithoutRetainedEntriesIsNewerWithoutChangesInStore() {
+      DiscoveryReconciler reconciler = new DiscoveryReconciler();
+      read(reconciler, 0, list(1, "a", "b"));
+      reconciler.readFailed();
+      long retained = reconciler.reconcile(list(9, "a"), 10 * SECOND).version();
+      long dropped = reconciler.reconcile(list(9, "a"), 13 * SECOND).version();
+      assertTrue(dropped > retained, retained + " to " + dropped);
     }
 
     @Test
-    public void aServerThatWasLeavingStaysGone() {
-      DiscoveryReconciler keeper = new DiscoveryReconciler();
-      read(keeper, 0, list(1, "a", "draining-b"));
-      keeper.failed();
-      assertEquals(read(keeper, 10 * SECOND, list(9)), Set.of("a"));
+    public void leavingServerIsNotRetained() {
+      DiscoveryReconciler reconciler = new DiscoveryReconciler();
+      read(reconciler, 0, list(1, "a", "draining-b"));
+      reconciler.readFailed();
+      assertEquals(read(reconciler, 10 * SECOND, list(9)), Set.of("a"));
     }
 
     /**
-     * All instances were cut off from the store while a server left without a word. Its entry is
-     * missing at the first read and kept, since it might have lapsed only. Read again at the usual
-     * time after the keeping has ended, it would get requests nearly a second longer than it may.
+     * Guards against requests to a server that left during an outage without announcing it. Its
+     * missing entry is retained, since it may just have expired; if the next read were only due at
+     * the regular time, the server would receive requests for nearly a second too long.
      */
     @Test
-    public void aReadIsDueWhenTheKeepingEnds() {
-      DiscoveryReconciler keeper = new DiscoveryReconciler();
-      assertTrue(keeper.untilReleaseNanos(0).isEmpty());
-      read(keeper, 0, list(1, "a", "b"));
-      keeper.failed();
-      read(keeper, 10 * SECOND, list(9, "a"));
+    public void readIsDueWhenRetentionEnds() {
+      DiscoveryReconciler reconciler = new DiscoveryReconciler();
+      assertTrue(reconciler.untilRetentionEndsNanos(0).isEmpty());
+      read(reconciler, 0, list(1, "a", "b"));
+      reconciler.readFailed();
+      read(reconciler, 10 * SECOND, list(9, "a"));
       assertEquals(
-          keeper.untilReleaseNanos(11 * SECOND).orElseThrow(),
-          DiscoveryReconciler.COME_BACK_NANOS - SECOND);
-      long end = 10 * SECOND + DiscoveryReconciler.COME_BACK_NANOS;
-      assertEquals(keeper.untilReleaseNanos(end + 1).orElseThrow(), 0);
-      assertEquals(read(keeper, end, list(9, "a")), Set.of("a"));
-      assertTrue(keeper.untilReleaseNanos(end).isEmpty());
+          reconciler.untilRetentionEndsNanos(11 * SECOND).orElseThrow(),
+          DiscoveryReconciler.RETENTION_NANOS - SECOND);
+      long end = 10 * SECOND + DiscoveryReconciler.RETENTION_NANOS;
+      assertEquals(reconciler.untilRetentionEndsNanos(end + 1).orElseThrow(), 0);
+      assertEquals(read(reconciler, end, list(9, "a")), Set.of("a"));
+      assertTrue(reconciler.untilRetentionEndsNanos(end).isEmpty());
     }
 
-    /** A peer that reads the store has told its list: this instance need not read as well. */
+    /** Guards against a superfluous read after a peer has sent the list that it read. */
     @Test
-    public void noReadIsDueOnceAPeerHasTold() {
-      DiscoveryReconciler keeper = new DiscoveryReconciler();
-      read(keeper, 0, list(1, "a", "b"));
-      keeper.failed();
-      read(keeper, 10 * SECOND, list(9, "a"));
-      keeper.adopt(list(10, "a"), 11 * SECOND);
-      assertTrue(keeper.untilReleaseNanos(11 * SECOND).isEmpty());
+    public void noReadIsDueAfterPeerListWasAdopted() {
+      DiscoveryReconciler reconciler = new DiscoveryReconciler();
+      read(reconciler, 0, list(1, "a", "b"));
+      reconciler.readFailed();
+      read(reconciler, 10 * SECOND, list(9, "a"));
+      reconciler.adopt(list(10, "a"), 11 * SECOND);
+      assertTrue(reconciler.untilRetentionEndsNanos(11 * SECOND).isEmpty());
     }
 
     @Test
-    public void aLongGapBetweenReadsCountsAsAnOutage() {
-      DiscoveryReconciler keeper = new DiscoveryReconciler();
-      read(keeper, 0, list(1, "a"));
-      assertEquals(read(keeper, 60 * SECOND, list(9)), Set.of("a"));
+    public void longGapBetweenReadsCountsAsOutage() {
+      DiscoveryReconciler reconciler = new DiscoveryReconciler();
+      read(reconciler, 0, list(1, "a"));
+      assertEquals(read(reconciler, 60 * SECOND, list(9)), Set.of("a"));
     }
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/process/FrontMetricsTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/FrontMetricsTest.java
@@ -5,10 +5,10 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** The metrics page. */
+/** Tests the metrics page. */
 public final class FrontMetricsTest {
   @Test
-  public void whatIsCountedBetweenScrapesIsShown() {
+  public void countsBetweenScrapesAreShown() {
     FrontMetrics metrics = new FrontMetrics();
     metrics.count("requests", "s", "answered");
     metrics.gauge("instances", () -> 17);
--- a/front/src/test/java/org/magnoliaswitch/front/process/ServerDirectoryTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ServerDirectoryTest.java
@@ -34,7 +34,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Which servers get work as lists come in. */
+/** Tests which servers receive requests as lists of servers arrive. */
 public final class ServerDirectoryTest {
   private static final HeaderNames NAMES = TestHeaders.NAMES;
 
@@ -71,22 +71,22 @@
   }
 
   /**
-   * A request waits for room and remembers a server. The server leaves the list meanwhile, and its
-   * address may soon belong to another service. Room that its last answer offers must not be taken.
+   * Guards against a request to a server that has left the list while the request was queued for
+   * its capacity: its address may belong to another service by then.
    */
   @Test
-  public void aServerThatLeftTheListGetsNothingFromThoseWhoRememberIt() {
+  public void unlistedServerReceivesNothingFromHoldersOfItsState() {
     ServerDirectory directory = directory();
     apply(directory, 1, Servers.entry("a", false), Servers.entry("b", false));
-    ServerState remembered = directory.of("s").getFirst().state();
-    assertTrue(remembered.acceptsWork());
+    ServerState held = directory.of("s").getFirst().state();
+    assertTrue(held.acceptsWork());
     apply(directory, 2);
-    assertFalse(remembered.acceptsWork());
+    assertFalse(held.acceptsWork());
     assertEquals(directory.of("s").size(), 0);
   }
 
   @Test
-  public void aDrainingServerGetsNothing() {
+  public void drainingServerReceivesNothing() {
     ServerDirectory directory = directory();
     apply(directory, 1, Servers.entry("c", false));
     apply(directory, 2, Servers.entry("c", true));
@@ -94,7 +94,7 @@
   }
 
   @Test
-  public void anOlderListChangesNothing() {
+  public void olderListHasNoEffect() {
     ServerDirectory directory = directory();
     apply(directory, 2, Servers.entry("d", true));
     apply(directory, 1, Servers.entry("d", false));
@@ -102,12 +102,12 @@
   }
 
   /**
-   * An instance has just started, some of its service's fourteen servers have ended, and it does
-   * not know yet how many others serve. Were it to keep to few servers, most of them might be those
-   * that ended, and its caller would be refused beside servers that are well.
+   * Guards against rejected requests right after the start, when an instance does not know yet how
+   * many others there are and some of a service's fourteen servers have crashed. In a small subset
+   * most servers could be those that crashed, while the others are healthy.
    */
   @Test
-  public void rightAfterTheStartNoServerOfASmallServiceIsLeftOut() {
+  public void allServersOfSmallServiceAreUsedRightAfterStart() {
     ServerDirectory directory = directory(new PausedClock().clocks(), Warmup.UNLIMITED);
     ServerEntry[] entries = new ServerEntry[14];
     for (int i = 0; i < entries.length; i++) {
@@ -117,7 +117,7 @@
     assertEquals(directory.of("s").size(), entries.length);
   }
 
-  /** A hundred instances, of which this one sends to some servers of a service only. */
+  /** One of a hundred instances, which sends to only some servers of a service. */
   public static final class Unreachable {
     private static final int SERVERS = 60;
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
@@ -132,7 +132,7 @@
     }
 
     @BeforeMethod
-    public void start() {
+    public void createDirectory() {
       time = new PausedClock();
       directory = directory(time.clocks(), Warmup.UNLIMITED, INSTANCES);
       time.advance(10 * SECOND);
@@ -144,25 +144,28 @@
     }
 
     /**
-     * A data centre falls silent without a word, and with it most of the servers that this instance
-     * sends to. Its entries stay for seconds. Callers would be refused for want of room while
-     * servers elsewhere are idle, so some of those are used instead.
+     * Guards against rejecting callers for lack of capacity while other servers are idle: a data
+     * centre fails without notice, and with it most servers that this instance sends to, whose
+     * entries remain for seconds.
      */
     @Test
-    public void othersTakeThePlaceOfServersThatCannotBeReached() {
+    public void unreachableServersAreReplaced() {
       List<ServerState> before = used();
       assertTrue(before.size() < SERVERS / 2);
-      List<ServerState> silent = before.subList(0, before.size() - 2);
-      silent.forEach(directory::recordUnreachable);
+      List<ServerState> unreachable = before.subList(0, before.size() - 2);
+      unreachable.forEach(directory::recordUnreachable);
       List<ServerState> after = new ArrayList<>(used());
       assertTrue(after.containsAll(before));
-      after.removeAll(silent);
+      after.removeAll(unreachable);
       assertEquals(after.size(), 6);
     }
 
-    /** They are back, or were only cut off for a moment: the instance returns to its own. */
+    /**
+     * Unreachable servers may have recovered or have been cut off only briefly, so the instance
+     * returns to them.
+     */
     @Test
-    public void afterAWhileTheyAreTriedAgainInTheirPlace() {
+    public void unreachableServersAreUsedAgainLater() {
       List<ServerState> before = used();
       before.subList(0, 5).forEach(directory::recordUnreachable);
       assertTrue(used().size() > before.size());
@@ -171,14 +174,17 @@
       assertEquals(used(), before);
     }
 
-    /** Guards against callers refused beside idle servers while those in use want a pause. */
+    /**
+     * Guards against rejecting callers while other servers are idle because those in use asked for
+     * a pause.
+     */
     @Test
-    public void othersTakeThePlaceOfServersThatWantAPause() {
+    public void pausedServersAreReplaced() {
       List<ServerState> before = used();
       List<ServerState> paused = before.subList(0, before.size() - 2);
       ServerNotice notice = new ServerNotice(false, OptionalDouble.empty(), 3 * SECOND);
       paused.forEach(state -> state.backpressure().answered(notice, time.read(), time.read()));
-      directory.paused();
+      directory.handlePause();
       List<ServerState> during = new ArrayList<>(used());
       during.removeAll(paused);
       assertEquals(during.size(), 6);
@@ -187,51 +193,51 @@
       assertEquals(used(), before);
     }
 
-    /** It tells its load: whoever could not reach it a moment ago can do so now. */
+    /** A server that reports its load is reachable again. */
     @Test
-    public void oneThatAnswersIsUsedAgain() {
+    public void serverThatRespondsIsUsedAgain() {
       List<ServerState> before = used();
-      List<ServerState> silent = before.subList(0, 5);
-      silent.forEach(directory::recordUnreachable);
-      silent.forEach(state -> state.sampled(new LoadSample(0, 0, 2, 1), 0, time.read()));
+      List<ServerState> unreachable = before.subList(0, 5);
+      unreachable.forEach(directory::recordUnreachable);
+      unreachable.forEach(state -> state.sampled(new LoadSample(0, 0, 2, 1), 0, time.read()));
       directory.sweep();
       assertEquals(used(), before);
     }
 
-    /** An instance that is cut off itself reaches none, and keeps to those it would use. */
+    /** An instance that is cut off itself reaches no server and keeps its own subset. */
     @Test
-    public void whenNoneCanBeReachedTheUsualOnesAreTried() {
+    public void ownSubsetIsUsedIfNoServerIsReachable() {
       List<ServerState> before = used();
       directory.all().forEach(pool -> directory.recordUnreachable(pool.state()));
       assertEquals(used(), before);
     }
   }
 
-  /** Data centres that an operator empties and takes back. */
+  /** Data centres that an operator evacuates and reinstates. */
   public static final class Evacuated {
-    private static final long SPAN_NANOS = TimeUnit.SECONDS.toNanos(3);
+    private static final long WARMUP_NANOS = TimeUnit.SECONDS.toNanos(3);
 
     private static Evacuations of(long version, String... dataCentres) {
       return new Evacuations(version, Set.of(dataCentres));
     }
 
     /**
-     * An operator empties a data centre before work on its power lines. A request that remembers a
-     * server there, or one that was learnt afterwards, would be lost with it.
+     * Guards against requests to servers in an evacuated data centre, where they may be lost: to
+     * servers that a queued request still holds and to servers that are listed later.
      */
     @Test
-    public void itsServersGetNothingWhetherKnownBeforeOrLearntLater() {
+    public void evacuatedServersReceiveNothing() {
       ServerDirectory directory = directory();
       apply(directory, 1, Servers.entry("a", false));
-      ServerState remembered = directory.of("s").getFirst().state();
+      ServerState held = directory.of("s").getFirst().state();
       directory.evacuate(of(1, "here"));
-      assertFalse(remembered.acceptsWork());
+      assertFalse(held.acceptsWork());
       apply(directory, 2, Servers.entry("a", false), Servers.entry("b", false));
       directory.of("s").forEach(pool -> assertFalse(pool.state().acceptsWork()));
     }
 
     @Test
-    public void otherDataCentresGoOn() {
+    public void otherDataCentresReceiveRequests() {
       ServerDirectory directory = directory();
       apply(directory, 1, Servers.entry("a", false));
       directory.evacuate(of(1, "elsewhere"));
@@ -239,14 +245,14 @@
     }
 
     /**
-     * The data centre is taken back, and discovery still lists its servers as warm: their entries
-     * are seconds old. All callers would be sent there at once and end them.
+     * Guards against crashing the servers of a reinstated data centre with the full load at once:
+     * discovery still lists them as warm, since its entries are seconds old.
      */
     @Test
-    public void takenBackItsServersCountAsColdUntilTheySayOtherwise() {
+    public void reinstatedServersCountAsColdUntilTheyReportOtherwise() {
       PausedClock time = new PausedClock();
       Clocks clocks = time.clocks();
-      ServerDirectory directory = directory(clocks, new Warmup(SPAN_NANOS, 2));
+      ServerDirectory directory = directory(clocks, new Warmup(WARMUP_NANOS, 2));
       apply(directory, 1, Servers.entry("a", false), Servers.entry("b", false));
       directory.evacuate(of(1, "here"));
       directory.evacuate(of(2));
@@ -258,12 +264,12 @@
       first.warmupTold(0, clocks.nanos());
       assertFalse(first.cold(clocks.nanos()));
       assertTrue(second.cold(clocks.nanos()));
-      time.advance(SPAN_NANOS);
+      time.advance(WARMUP_NANOS);
       assertFalse(second.cold(clocks.nanos()));
     }
   }
 
-  /** Servers that start again under the id that they had. */
+  /** Servers that restart under the same id. */
   public static final class Restarts {
     private static ServerState only(ServerDirectory directory) {
       assertEquals(directory.of("s").size(), 1);
@@ -271,12 +277,12 @@
     }
 
     /**
-     * A server announces that it leaves, fails some requests, ends, and starts again under its id.
-     * Callers of a service with that one server would be refused for as long as the old process's
-     * departure and failures were held against the new one.
+     * Guards against rejecting the callers of a service with a single server that has announced
+     * that it is leaving, failed some requests and restarted under the same id: the departure and
+     * failures of the old process must not count for the new one.
      */
     @Test
-    public void nothingOfTheOldIncarnationIsHeldAgainstTheNewOne() {
+    public void stateOfOldIncarnationIsDiscarded() {
       ServerDirectory directory = directory();
       apply(directory, 1, Servers.entry("a", false));
       ServerState old = only(directory);
@@ -294,9 +300,12 @@
       assertFalse(old.acceptsWork());
     }
 
-    /** Failures that come to light after the restart were the old process's. */
+    /**
+     * Failures of the old process that are detected after the restart must not count for the new
+     * one.
+     */
     @Test
-    public void whatComesToLightLaterCountsWhereItHappened() {
+    public void lateFailureCountsForOldIncarnation() {
       ServerDirectory directory = directory();
       apply(directory, 1, Servers.entry("a", false));
       ServerState old = only(directory);
@@ -306,11 +315,11 @@
     }
 
     /**
-     * The old process stood still and writes its last entry, "leaving", after the new one has
-     * registered. Taken for the new one's, it would leave the service without a server.
+     * Guards against a service without a server: the old process was stalled and writes its last
+     * entry, "leaving", after the new one has registered.
      */
     @Test
-    public void anEntryOfAnEarlierIncarnationChangesNothing() {
+    public void entryOfEarlierIncarnationHasNoEffect() {
       ServerDirectory directory = directory();
       apply(directory, 1, Servers.restarted(Servers.entry("a", false)));
       ServerState state = only(directory);
@@ -319,9 +328,9 @@
       assertTrue(state.acceptsWork());
     }
 
-    /** The list is missing an entry while somebody has spoiled it, and has it again afterwards. */
+    /** An entry is missing from the list while it is malformed, and is listed again afterwards. */
     @Test
-    public void aServerThatWasMissingIsUsedAgain() {
+    public void relistedServerIsUsedAgain() {
       ServerDirectory directory = directory();
       apply(directory, 1, Servers.entry("a", false));
       ServerState before = only(directory);
@@ -332,9 +341,12 @@
       assertFalse(before.acceptsWork());
     }
 
-    /** A departure that is taken back: its connections must be kept again, not opened each time. */
+    /**
+     * A server withdraws its departure: its connections must be pooled again instead of being
+     * opened for each request.
+     */
     @Test
-    public void aServerThatStaysAfterAllIsUsedAgain() {
+    public void serverThatWithdrawsDepartureIsUsedAgain() {
       ServerDirectory directory = directory();
       apply(directory, 1, Servers.entry("a", true));
       apply(directory, 2, Servers.entry("a", false));
--- a/front/src/test/java/org/magnoliaswitch/front/process/ServerNoticesTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ServerNoticesTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What an on-call engineer can see of what servers ask for. */
+/** Tests the metrics that show the backpressure notices of servers. */
 public final class ServerNoticesTest {
   private static final ServerNotice LIMITED = new ServerNotice(false, OptionalDouble.of(4.6), 0);
   private static final ServerNotice LEAVING = new ServerNotice(true, OptionalDouble.empty(), 0);
@@ -27,7 +27,7 @@
   private ServerState server;
 
   @BeforeMethod
-  public void start() throws InterruptedException {
+  public void createServer() throws InterruptedException {
     environment = TestEnvironment.unknowing();
     onLoop(
         () ->
@@ -64,9 +64,9 @@
     assertTrue(page.contains(line), page);
   }
 
-  /** Guards against a log line for each answer of a server that keeps its limit for long. */
+  /** Guards against a log line for each response of a server whose limit does not change. */
   @Test
-  public void aLimitIsToldWhenItChanges() throws InterruptedException {
+  public void limitIsCountedWhenItChanges() throws InterruptedException {
     answered(LIMITED);
     answered(LIMITED);
     answered(ServerNotice.NONE);
@@ -75,7 +75,7 @@
   }
 
   @Test
-  public void aDepartureIsToldOnceAndTheServerLeavesItsGroup() throws InterruptedException {
+  public void departureIsCountedOnceAndEndsNewRequests() throws InterruptedException {
     answered(LEAVING);
     answered(LEAVING);
     assertCounted("server_leaving", 1);
@@ -84,7 +84,7 @@
   }
 
   @Test
-  public void eachPauseIsTold() throws InterruptedException {
+  public void eachPauseIsCounted() throws InterruptedException {
     answered(PAUSE);
     answered(PAUSE);
     assertCounted("server_pause", 2);
--- a/front/src/test/java/org/magnoliaswitch/front/process/ServerQuotasTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ServerQuotasTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What one instance sends to servers that ask for fewer requests. */
+/** Tests how many requests one instance sends to servers that ask for fewer. */
 public final class ServerQuotasTest {
   private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
   private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
@@ -30,9 +30,9 @@
   private ServerQuotas quotas;
   private ServerState server;
 
-  /** Two instances, both of which send to all servers. */
+  /** Sets up two instances that both send to all servers. */
   @BeforeMethod
-  public void start() {
+  public void createQuotas() {
     time = new PausedClock();
     instances = new InstanceCount(2, time.clocks());
     FrontSettings settings = TestEnvironment.settings();
@@ -59,18 +59,21 @@
     return sent;
   }
 
-  /** Guards against an overloaded server that gets all that callers have for it. */
+  /**
+   * Guards against an overloaded server that receives all requests of callers in spite of its
+   * limit.
+   */
   @Test
-  public void aLimitedServerGetsTheShareOfASpan() {
+  public void limitedServerReceivesShareOfSpan() {
     time.advance(SETTLED);
     limit(3);
     assertEquals(sendAll(4 * SECOND), 6);
     assertEquals(sendAll(4 * SECOND), 6);
   }
 
-  /** Guards against a burst at the moment in which the limit becomes known. */
+  /** Guards against a burst when the limit becomes known. */
   @Test
-  public void whatWasSentBeforeTheLimitCounts() {
+  public void requestsSentBeforeLimitCount() {
     time.advance(SETTLED);
     for (int i = 0; i < 5; i++) {
       server.written(time.read());
@@ -80,7 +83,7 @@
   }
 
   @Test
-  public void onceTheLimitHasEndedTheServerGetsAll() {
+  public void serverReceivesAllRequestsAfterLimitIsLifted() {
     time.advance(SETTLED);
     limit(3);
     time.advance(SECOND);
@@ -88,9 +91,9 @@
     assertEquals(sendAll(SECOND), SECOND / MILLI);
   }
 
-  /** Guards against shares that are too large while an instance knows of few others. */
+  /** Guards against shares that are too large while an instance knows only a few others. */
   @Test
-  public void rightAfterTheStartALimitedServerGetsNothing() {
+  public void limitedServerReceivesNothingRightAfterStart() {
     limit(3);
     assertFalse(quotas.allowed(server));
     assertTrue(quotas.waitNanos(server) > 0);
@@ -98,19 +101,24 @@
     assertTrue(quotas.allowed(server));
   }
 
-  /** Guards against callers that wait for a server which takes nothing before they have left. */
+  /**
+   * Guards against queueing requests for a server that accepts nothing before their callers give
+   * up.
+   */
   @Test
-  public void tellsWhenTheServerTakesARequestAgain() {
+  public void returnsTimeUntilServerAcceptsRequest() {
     time.advance(SETTLED);
     limit(0.5);
     assertEquals(sendAll(SECOND), 1);
     assertTrue(quotas.waitNanos(server) > 2 * SECOND);
   }
 
-  /** Guards against an instance without a share that never hears that the limit has ended. */
+  /**
+   * Guards against an instance without a share that never notices that the limit has been lifted.
+   */
   @Test
-  public void aLimitNotHeardOfForLongIsPutToTheTest() {
-    instances.learnt(100);
+  public void unconfirmedLimitIsTestedWithOneRequest() {
+    instances.update(100);
     instances.placed(placeWithoutShare());
     time.advance(SETTLED);
     limit(0.5);
@@ -123,9 +131,9 @@
     server.backpressure().answered(notice, time.read(), time.read());
   }
 
-  /** Guards against requests at a server that asked for a pause. */
+  /** Guards against requests to a server that has asked for a pause. */
   @Test
-  public void aServerGetsNothingDuringItsPause() {
+  public void serverReceivesNothingDuringPause() {
     time.advance(SETTLED);
     pause(3 * SECOND);
     assertEquals(quotas.waitNanos(server), 3 * SECOND);
@@ -133,9 +141,9 @@
     assertTrue(quotas.allowed(server));
   }
 
-  /** Guards against a pause that is cut short by the answer to a request under way. */
+  /** Guards against a pause that is shortened by the response to a request in progress. */
   @Test
-  public void theLongestPauseCounts() {
+  public void longestPauseCounts() {
     time.advance(SETTLED);
     pause(3 * SECOND);
     time.advance(SECOND);
--- a/front/src/test/java/org/magnoliaswitch/front/process/ShareCacheTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ShareCacheTest.java
@@ -7,34 +7,34 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Shares that are worked out once for each number and place of instances. */
+/** Tests that shares are computed once for each number and index of instances. */
 public final class ShareCacheTest {
   private InstanceCount instances;
   private ShareCache<String, Integer> shares;
-  private int workedOut;
+  private int computed;
 
   @BeforeMethod
-  public void start() {
-    workedOut = 0;
+  public void createCache() {
+    computed = 0;
     instances = new InstanceCount(2, new PausedClock().clocks());
-    shares = new ShareCache<>(instances, key -> ++workedOut);
+    shares = new ShareCache<>(instances, key -> ++computed);
   }
 
   @Test
-  public void aShareIsWorkedOutOnce() {
-    shares.of("a");
-    shares.of("a");
-    assertEquals(workedOut, 1);
+  public void shareIsComputedOnce() {
+    shares.get("a");
+    shares.get("a");
+    assertEquals(computed, 1);
   }
 
-  /** Guards against shares of few instances that are kept when others join. */
+  /** Guards against shares for too few instances that stay cached when others join. */
   @Test
-  public void itIsWorkedOutAnewWhenInstancesJoinOrPlacesChange() {
-    shares.of("a");
-    instances.learnt(3);
-    shares.of("a");
+  public void shareIsComputedAgainAfterChangeOfInstances() {
+    shares.get("a");
+    instances.update(3);
+    shares.get("a");
     instances.placed(new InstancePlace(1, 3));
-    shares.of("a");
-    assertEquals(workedOut, 3);
+    shares.get("a");
+    assertEquals(computed, 3);
   }
 }
