--- a/front/src/main/java/org/magnoliaswitch/front/version/OperatorState.java
+++ b/front/src/main/java/org/magnoliaswitch/front/version/OperatorState.java
@@ -1,9 +1,9 @@
 package org.magnoliaswitch.front.version;
 
 /**
- * What operators have declared, as of one read.
+ * State declared by operators, as of one read.
  *
- * @param routes the configuration, or {@link RouteTable#EMPTY} when it has not changed
+ * @param routes the configuration, or {@link RouteTable#EMPTY} if it has not changed
  * @param evacuations the evacuated data centres
  */
 public record OperatorState(RouteTable routes, Evacuations evacuations) {}
--- a/front/src/main/java/org/magnoliaswitch/front/version/Route.java
+++ b/front/src/main/java/org/magnoliaswitch/front/version/Route.java
@@ -4,18 +4,18 @@
 import java.util.Set;
 
 /**
- * How requests for one host and path prefix are treated.
+ * Rules for the requests to one host and path prefix.
  *
  * @param name unique among the routes
  * @param host value of the caller's Host header, in lower case and without a port
  * @param prefix begins and ends with a slash
  * @param idempotent whether a request may run more than once
- * @param timeoutNanos longest time a caller waits for its final answer
- * @param objectiveNanos latency up to which an answer has its full value
+ * @param timeoutNanos maximum time that a caller waits for its final response
+ * @param objectiveNanos latency up to which a response has its full value
  * @param priority rank among routes; 0 is the most urgent
- * @param maxServers most backend servers that one request is sent to
+ * @param maxServers maximum number of backend servers that one request is sent to
  * @param services services that share the route's traffic; never empty
- * @param regions the only regions whose servers may get its requests; empty if all may
+ * @param regions regions whose servers may receive its requests; empty if all may
  */
 public record Route(
     String name,
@@ -36,7 +36,7 @@
     }
   }
 
-  /** A route whose requests may go to servers in all regions. */
+  /** Creates a route whose requests may go to servers in all regions. */
   public Route(
       String name,
       String host,
@@ -60,8 +60,8 @@
         Set.of());
   }
 
-  /** The same route for servers in some regions only. */
-  public Route withRegions(Set<String> next) {
+  /** Returns a copy of the route for servers in the given regions only. */
+  public Route withRegions(Set<String> allowedRegions) {
     return new Route(
         name,
         host,
@@ -72,10 +72,10 @@
         priority,
         maxServers,
         services,
-        next);
+        allowedRegions);
   }
 
-  /** Whether servers in a region may get its requests. */
+  /** Whether servers in a region may receive its requests. */
   public boolean allows(String region) {
     return regions.isEmpty() || regions.contains(region);
   }
--- a/front/src/main/java/org/magnoliaswitch/front/version/RouteChanges.java
+++ b/front/src/main/java/org/magnoliaswitch/front/version/RouteChanges.java
@@ -10,12 +10,12 @@
 import java.util.Set;
 
 /**
- * What leads from one configuration version to a later one.
+ * The difference between a configuration version and a later one.
  *
- * @param base version that it applies to, and no other
- * @param version version that it leads to
- * @param changed routes that are new or differ
- * @param removed names of routes that are dropped
+ * @param base the only version to which the changes apply
+ * @param version version that results from applying them
+ * @param changed routes that were added or modified
+ * @param removed names of the removed routes
  * @param services all services of the later version
  * @param limits limits of the later version
  */
@@ -32,7 +32,7 @@
     services = List.copyOf(services);
   }
 
-  /** Compares two versions as far as routes of some names are concerned. */
+  /** Returns the changes from a base version, given the names of the routes that differ. */
   static RouteChanges of(long base, RouteTable after, Collection<String> names) {
     Map<String, Route> routes = byName(after);
     List<Route> changed = new ArrayList<>();
@@ -49,20 +49,22 @@
         base, after.version(), changed, removed, List.copyOf(after.services()), after.limits());
   }
 
-  /** Names of the routes that one of two versions lacks or that differ. */
-  static Set<String> names(RouteTable before, RouteTable after) {
-    Map<String, Route> left = byName(before);
+  /**
+   * Returns the names of the routes that differ between two versions or exist in only one of them.
+   */
+  static Set<String> differingNames(RouteTable before, RouteTable after) {
+    Map<String, Route> remaining = byName(before);
     Set<String> names = new HashSet<>();
     for (Route route : after.routes()) {
-      if (!route.equals(left.remove(route.name()))) {
+      if (!route.equals(remaining.remove(route.name()))) {
         names.add(route.name());
       }
     }
-    names.addAll(left.keySet());
+    names.addAll(remaining.keySet());
     return names;
   }
 
-  /** The later version; absent if the given one is not that which this applies to. */
+  /** Returns the later version; empty if the given one is not the base version. */
   public Optional<RouteTable> applyTo(RouteTable before) {
     if (before.version() != base) {
       return Optional.empty();
--- a/front/src/main/java/org/magnoliaswitch/front/version/RouteHistory.java
+++ b/front/src/main/java/org/magnoliaswitch/front/version/RouteHistory.java
@@ -7,30 +7,30 @@
 import java.util.Set;
 
 /**
- * Which routes the last configuration versions changed, so that an instance which has one of them
- * is sent the difference only. Keeps names, not versions: a large configuration in many versions
- * would fill the memory.
+ * Tracks which routes the last configuration versions changed, so that an instance which has one of
+ * them is sent the difference only. Only names are stored, since many versions of a large
+ * configuration would exhaust the memory.
  */
 public final class RouteHistory {
   private static final int MAX_STEPS = 64;
 
   /**
-   * One change of the configuration in force here.
+   * A change of the configuration in force on this instance.
    *
-   * @param before version before it
-   * @param names routes that it touched
+   * @param before version before the change
+   * @param names names of the changed routes
    */
   private record Step(long before, Set<String> names) {}
 
   private final Deque<Step> newestFirst = new ArrayDeque<>();
   private RouteTable newest = RouteTable.EMPTY;
 
-  /** Takes the configuration in force; returns whether it is another than before. */
+  /** Adds the configuration in force; returns whether it is newer than the last one. */
   public boolean add(RouteTable next) {
     if (next.version() <= newest.version()) {
       return false;
     }
-    newestFirst.addFirst(new Step(newest.version(), RouteChanges.names(newest, next)));
+    newestFirst.addFirst(new Step(newest.version(), RouteChanges.differingNames(newest, next)));
     if (newestFirst.size() > MAX_STEPS) {
       newestFirst.removeLast();
     }
@@ -38,14 +38,15 @@
     return true;
   }
 
-  /** The newest version. */
+  /** Returns the newest version. */
   public long version() {
     return newest.version();
   }
 
   /**
-   * What leads to the newest version. A version that was never in force here may hold a route that
-   * a later one changed back, so from there only the whole configuration leads on.
+   * Returns the update to the newest version. A version that was never in force on this instance
+   * may contain a route that a later version changed back, so its holder is sent the full
+   * configuration.
    *
    * @param version version that the receiver has; 0 if none
    */
--- a/front/src/main/java/org/magnoliaswitch/front/version/RouteTable.java
+++ b/front/src/main/java/org/magnoliaswitch/front/version/RouteTable.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The routes, services and limits of one configuration version; immutable, swapped as a whole. */
+/** The routes, services and limits of one configuration version; immutable. */
 public final class RouteTable {
-  /** What an instance holds before it has received any configuration. */
+  /** Table of an instance that has not received a configuration yet. */
   public static final RouteTable EMPTY =
       new RouteTable(0, List.of(), List.of(), CallerLimits.DEFAULT);
 
@@ -35,17 +35,17 @@
     byHost.values().forEach(list -> list.sort(LONGEST_PREFIX_FIRST));
   }
 
-  /** Its number; 0 stands for none yet. */
+  /** Returns the configuration version; 0 if none has been received. */
   public long version() {
     return version;
   }
 
-  /** All routes. */
+  /** Returns all routes. */
   public List<Route> routes() {
     return byHost.values().stream().flatMap(List::stream).toList();
   }
 
-  /** Bounds on what callers may send. */
+  /** Returns the limits on the requests of callers. */
   public CallerLimits limits() {
     return limits;
   }
@@ -55,29 +55,29 @@
     return version > 0;
   }
 
-  /** What is declared of a service. */
+  /** Returns the policy of a service if it is declared. */
   public Optional<ServicePolicy> service(String name) {
     return Optional.ofNullable(services.get(name));
   }
 
-  /** What a service's servers bear while they are cold. */
+  /** Returns the limits of a service's servers while they are cold. */
   public Warmup warmup(String service) {
     return service(service).map(ServicePolicy::warmup).orElse(Warmup.UNLIMITED);
   }
 
-  /** All declared services. */
+  /** Returns the policies of all declared services. */
   public Collection<ServicePolicy> services() {
     return services.values();
   }
 
   /**
-   * The route of a request: the longest prefix that begins its path.
+   * Returns the route of a request: the one with the longest prefix of the request's path.
    *
    * @param host value of the Host header
    * @param target request target, with or without a query
    */
   public Optional<Route> find(String host, String target) {
-    List<Route> routes = byHost.getOrDefault(bareHost(host), List.of());
+    List<Route> routes = byHost.getOrDefault(hostWithoutPort(host), List.of());
     String path = pathOf(target);
     for (Route route : routes) {
       if (path.startsWith(route.prefix())) {
@@ -87,10 +87,10 @@
     return Optional.empty();
   }
 
-  private static String bareHost(String host) {
+  private static String hostWithoutPort(String host) {
     int colon = host.lastIndexOf(':');
-    String bare = colon > 0 && host.indexOf(']') < colon ? host.substring(0, colon) : host;
-    return bare.toLowerCase(Locale.ROOT);
+    String name = colon > 0 && host.indexOf(']') < colon ? host.substring(0, colon) : host;
+    return name.toLowerCase(Locale.ROOT);
   }
 
   private static String pathOf(String target) {
--- a/front/src/main/java/org/magnoliaswitch/front/version/RouteUpdate.java
+++ b/front/src/main/java/org/magnoliaswitch/front/version/RouteUpdate.java
@@ -2,12 +2,12 @@
 
 import java.util.Optional;
 
-/** What an instance is sent to get to a configuration version. */
+/** Update that brings an instance to a configuration version. */
 public sealed interface RouteUpdate {
-  /** Version that it leads to. */
+  /** Returns the version that results from the update. */
   long version();
 
-  /** The whole configuration. */
+  /** A full configuration. */
   record Full(RouteTable table) implements RouteUpdate {
     @Override
     public long version() {
@@ -15,7 +15,7 @@
     }
   }
 
-  /** What differs from the version that the instance has. */
+  /** The changes since the version that the instance has. */
   record Changes(RouteChanges changes) implements RouteUpdate {
     @Override
     public long version() {
@@ -23,7 +23,7 @@
     }
   }
 
-  /** The version that it leads to; absent if it does not apply to the given one. */
+  /** Returns the updated configuration; empty if the update does not apply to the given one. */
   default Optional<RouteTable> applyTo(RouteTable current) {
     return switch (this) {
       case Full full -> Optional.of(full.table());
--- a/front/src/main/java/org/magnoliaswitch/front/version/ServerEntry.java
+++ b/front/src/main/java/org/magnoliaswitch/front/version/ServerEntry.java
@@ -1,17 +1,17 @@
 package org.magnoliaswitch.front.version;
 
 /**
- * What discovery says of one incarnation of a backend server: an id together with a time of start.
+ * Discovery entry of one incarnation of a backend server, identified by its id and start time.
  *
- * @param id names the server; it may keep it over a restart
+ * @param id id of the server, which may be the same after a restart
  * @param startedMillis when this incarnation started, in milliseconds since the epoch, or {@link
  *     #UNKNOWN_START}
- * @param service service it belongs to
+ * @param service service that the server belongs to
  * @param host IP address
  * @param port TCP port
- * @param dataCentre where it runs
- * @param slots requests it executes at once
- * @param draining whether it has announced that it leaves
+ * @param dataCentre data centre in which it runs
+ * @param slots number of requests that it executes concurrently
+ * @param draining whether it has announced that it is leaving
  * @param warmupNanos how much longer it stays slow after its start
  */
 public record ServerEntry(
@@ -24,37 +24,44 @@
     int slots,
     boolean draining,
     long warmupNanos) {
-  /** Of a server that does not tell when it started: earlier than any other incarnation. */
+  /**
+   * Start time of a server that does not report it; counts as earlier than any other incarnation.
+   */
   public static final long UNKNOWN_START = 0;
 
   private static final int MAX_PORT = 65_535;
 
   /**
-   * Checks what comes from other processes; {@link IllegalArgumentException} if it is no server.
+   * Validates the fields, which come from other processes; throws {@link IllegalArgumentException}
+   * if one is out of range.
    */
   public ServerEntry {
     if (id.isEmpty() || startedMillis < 0) {
-      throw new IllegalArgumentException("a server needs an id and a time of start");
+      throw new IllegalArgumentException(
+          "id of a server entry must not be empty, nor its start time negative");
     }
     if (port < 1 || port > MAX_PORT || slots < 1 || warmupNanos < 0) {
-      throw new IllegalArgumentException("port, slots or warm-up of " + id + " are out of range");
+      throw new IllegalArgumentException(
+          "invalid entry of server "
+              + id
+              + ": port must be 1 to 65535, slots at least 1, warm-up at least 0");
     }
   }
 
-  /** Names this incarnation; the id alone names also those before and after it. */
+  /** Returns a name for this incarnation; the id alone is the same for earlier and later ones. */
   public String incarnation() {
     return id + "@" + startedMillis;
   }
 
   /**
-   * Whether this is a later incarnation of the same server. It has forgotten all that the earlier
-   * one did, so nothing that was learnt there holds.
+   * Whether this is a later incarnation of the same server. It has no state in common with the
+   * earlier one, so nothing known of that applies to it.
    */
   public boolean replaces(ServerEntry other) {
     return id.equals(other.id) && startedMillis > other.startedMillis;
   }
 
-  /** Whether both say the same but for how much of the warm-up is left. */
+  /** Whether two entries are equal except for the remaining warm-up time. */
   public boolean equivalent(ServerEntry other) {
     return id.equals(other.id)
         && startedMillis == other.startedMillis
--- a/front/src/main/java/org/magnoliaswitch/front/version/ServerList.java
+++ b/front/src/main/java/org/magnoliaswitch/front/version/ServerList.java
@@ -3,13 +3,13 @@
 import java.util.Map;
 
 /**
- * All backend servers that discovery lists at one moment.
+ * All backend servers that discovery lists at one point in time.
  *
- * @param version rises with each change in the source of the list
+ * @param version increases with each change in the source of the list
  * @param servers entries by id
  */
 public record ServerList(long version, Map<String, ServerEntry> servers) {
-  /** Before anything is known. */
+  /** List before any has been received. */
   public static final ServerList EMPTY = new ServerList(0, Map.of());
 
   public ServerList {
--- a/front/src/main/java/org/magnoliaswitch/front/version/WeightedService.java
+++ b/front/src/main/java/org/magnoliaswitch/front/version/WeightedService.java
@@ -1,9 +1,9 @@
 package org.magnoliaswitch.front.version;
 
 /**
- * One part of a route's traffic.
+ * A service that receives a share of a route's traffic.
  *
- * @param service name of the service that gets it
- * @param weight its share relative to the other parts; positive
+ * @param service name of the service
+ * @param weight its share relative to the other services of the route; positive
  */
 public record WeightedService(String service, double weight) {}
--- a/front/src/main/java/org/magnoliaswitch/front/version/package-info.java
+++ b/front/src/main/java/org/magnoliaswitch/front/version/package-info.java
@@ -1,6 +1,4 @@
-/**
- * What lives as long as one configuration or discovery version: routes, services, limits, servers.
- */
+/** Data of a configuration or discovery version: routes, services, limits, servers. */
 @NullMarked
 package org.magnoliaswitch.front.version;
 
--- a/front/src/test/java/org/magnoliaswitch/front/version/RouteHistoryTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/version/RouteHistoryTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.testng.annotations.Test;
 
-/** What leads from one configuration version to a later one. */
+/** Tests the updates that are sent to instances with an earlier configuration version. */
 public final class RouteHistoryTest {
   private static final List<ServicePolicy> SERVICES =
       List.of(new ServicePolicy("s", "/health", 10, Warmup.UNLIMITED));
@@ -41,14 +41,14 @@
     assertEquals(actual.limits(), expected.limits());
   }
 
-  /** A receiver that has a version which was in force here. */
-  public static final class FromAKnownVersion {
+  /** The receiver has a version that was in force on the sender. */
+  public static final class FromKnownVersion {
     private static final RouteTable FIRST = table(3, route("a", "1"), route("b", "1"));
     private static final RouteTable SECOND = table(5, route("a", "2"), route("b", "1"));
     private static final RouteTable THIRD = table(9, route("a", "2"), route("c", "1"));
 
     @Test
-    public void onlyWhatChangedIsSent() {
+    public void onlyChangedRoutesAreSent() {
       RouteUpdate update = history(FIRST, SECOND, THIRD).since(5);
       assertEquals(
           update,
@@ -58,22 +58,25 @@
     }
 
     @Test
-    public void changesOfSeveralVersionsAreSentTogether() {
+    public void changesOfSeveralVersionsAreMerged() {
       RouteUpdate update = history(FIRST, SECOND, THIRD).since(3);
       assertSame(update.applyTo(FIRST).orElseThrow(), THIRD);
     }
 
-    /** Guards against a difference that is applied to a version which it does not fit. */
+    /** Guards against changes that are applied to another version than their base version. */
     @Test
-    public void anotherVersionIsLeftAlone() {
+    public void changesDoNotApplyToAnotherVersion() {
       RouteUpdate update = history(FIRST, SECOND, THIRD).since(3);
       assertEquals(update.applyTo(SECOND), Optional.empty());
       assertEquals(update.applyTo(RouteTable.EMPTY), Optional.empty());
     }
 
-    /** Random configurations: whatever known version a receiver has, it ends at the newest. */
+    /**
+     * Guards against updates that lead to another table than the newest, with random
+     * configurations.
+     */
     @Test
-    public void everyKnownVersionLeadsToTheNewest() {
+    public void updatesFromAllKnownVersionsLeadToTheNewest() {
       Random random = new Random(11);
       for (int run = 0; run < 200; run++) {
         List<RouteTable> tables = new ArrayList<>();
@@ -98,11 +101,14 @@
     }
   }
 
-  /** A receiver that has a version which was never in force here, or none. */
-  public static final class FromAnotherVersion {
-    /** Guards against a route that such a version changed and a later one changed back. */
+  /** The receiver has a version that was never in force on the sender, or none. */
+  public static final class FromUnknownVersion {
+    /**
+     * Guards against a lost update of a route that such a version changed and a later one changed
+     * back.
+     */
     @Test
-    public void theWholeConfigurationIsSent() {
+    public void fullConfigurationIsSent() {
       RouteTable last = table(9, route("a", "1"));
       RouteHistory history = history(table(3, route("a", "1")), last);
       assertEquals(history.since(5), new RouteUpdate.Full(last));
@@ -111,7 +117,7 @@
     }
 
     @Test
-    public void anOlderConfigurationIsNotTaken() {
+    public void olderConfigurationIsIgnored() {
       RouteHistory history = history(table(9));
       assertFalse(history.add(table(9)));
       assertFalse(history.add(table(8)));
--- a/front/src/test/java/org/magnoliaswitch/front/version/RouteTableTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/version/RouteTableTest.java
@@ -6,7 +6,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Which route covers a request. */
+/** Tests which route a request is assigned to. */
 public final class RouteTableTest {
   private static Route route(String name, String host, String prefix) {
     List<WeightedService> services = List.of(new WeightedService("s", 1));
@@ -40,7 +40,7 @@
   }
 
   @Test(dataProvider = "requests")
-  public void theLongestPrefixOfTheHostCounts(String host, String target, String expected) {
+  public void routeWithLongestPrefixOfHostIsFound(String host, String target, String expected) {
     assertEquals(table.find(host, target).map(Route::name).orElse("-"), expected);
   }
 }
