--- a/front/src/main/java/org/magnoliaswitch/front/process/CrashArchive.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/CrashArchive.java
@@ -129,7 +129,7 @@
     List<CrashReport.Ended> removable = new ArrayList<>();
     Set<CrashKey> foundNow = new HashSet<>();
     for (CrashStore.StoredCrash row : rows) {
-      CrashReport.Ended ended = row.ended();
+      CrashReport.Ended ended = row.crash();
       boolean expired = now - row.epochMillis() > MAX_AGE_MILLIS;
       if (expired || watch.table().cleared(ended.request(), ended.server())) {
         removable.add(ended);
--- a/front/src/main/java/org/magnoliaswitch/front/process/CrashStore.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/CrashStore.java
@@ -33,7 +33,7 @@
    * @param crash the crash as it was reported
    * @param epochMillis when it was written by the writer's clock, in milliseconds since the epoch
    */
-  record StoredCrash(CrashReport.Ended ended, long epochMillis) {}
+  record StoredCrash(CrashReport.Ended crash, long epochMillis) {}
 
   /** Reads all stored crashes. */
   void read(Consumer<StateSource.Read<List<StoredCrash>>> listener);
