--- a/front/src/main/java/org/magnoliaswitch/front/peer/ConfigurationNews.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/ConfigurationUpdate.java
@@ -12,4 +12,4 @@
  * @param update what leads the listener there; absent if it has that version, if an update is still
  *     on its way, or if another peer sends it
  */
-public record ConfigurationNews(long version, long ageMillis, Optional<RouteUpdate> update) {}
+public record ConfigurationUpdate(long version, long ageMillis, Optional<RouteUpdate> update) {}
--- a/front/src/main/java/org/magnoliaswitch/front/peer/ListenerNews.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/ListenerUpdate.java
@@ -12,9 +12,9 @@
  * @param passedOn what it has read itself, if the instance that it listens to seems not to be able
  *     to; only with what it holds
  */
-record ListenerNews(
-    List<CrashReport> crashes, Optional<HeldConfiguration> held, Optional<PeerNews> passedOn) {
-  ListenerNews {
+record ListenerUpdate(
+    List<CrashReport> crashes, Optional<HeldConfiguration> held, Optional<PeerUpdate> passedOn) {
+  ListenerUpdate {
     crashes = List.copyOf(crashes);
     if (passedOn.isPresent() && held.isEmpty()) {
       throw new IllegalArgumentException("what is passed on follows what is held");
--- a/front/src/main/java/org/magnoliaswitch/front/peer/ListenerNewsCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/ListenerUpdateCodec.java
@@ -11,19 +11,19 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Writes and reads {@link ListenerNews} as MessagePack. Instances of an earlier release write and
+ * Writes and reads {@link ListenerUpdate} as MessagePack. Instances of an earlier release write and
  * read the reports alone, and pass over what follows them.
  */
-final class ListenerNewsCodec {
+final class ListenerUpdateCodec {
   private static final List<HeldConfiguration.Supply> SUPPLIES =
       List.of(
           HeldConfiguration.Supply.FIRST,
           HeldConfiguration.Supply.AT_ONCE,
           HeldConfiguration.Supply.IN_RESERVE);
 
-  private ListenerNewsCodec() {}
+  private ListenerUpdateCodec() {}
 
-  static byte[] encode(ListenerNews news) {
+  static byte[] encode(ListenerUpdate news) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       CrashReportCodec.write(out, news.crashes());
       if (news.held().isPresent()) {
@@ -33,7 +33,7 @@
         out.packInt(SUPPLIES.indexOf(held.supply()));
       }
       if (news.passedOn().isPresent()) {
-        byte[] passedOn = Compression.deflated(PeerNewsCodec.encode(news.passedOn().get()));
+        byte[] passedOn = Compression.deflated(PeerUpdateCodec.encode(news.passedOn().get()));
         out.packBinaryHeader(passedOn.length);
         out.writePayload(passedOn);
       }
@@ -44,24 +44,24 @@
   }
 
   /** Decodes a message; anything malformed is an {@link IOException}. */
-  static ListenerNews decode(byte[] bytes) throws IOException {
+  static ListenerUpdate decode(byte[] bytes) throws IOException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       List<CrashReport> crashes = CrashReportCodec.read(in);
       Optional<HeldConfiguration> held = in.hasNext() ? Optional.of(held(in)) : Optional.empty();
-      Optional<PeerNews> passedOn =
+      Optional<PeerUpdate> passedOn =
           in.hasNext() ? Optional.of(passedOn(in, bytes.length)) : Optional.empty();
-      return new ListenerNews(crashes, held, passedOn);
+      return new ListenerUpdate(crashes, held, passedOn);
     } catch (MessagePackException | IllegalArgumentException e) {
       throw new IOException("malformed news of a listener", e);
     }
   }
 
-  private static PeerNews passedOn(MessageUnpacker in, int messageLength) throws IOException {
+  private static PeerUpdate passedOn(MessageUnpacker in, int messageLength) throws IOException {
     int length = in.unpackBinaryHeader();
     if (length > messageLength) {
       throw new IOException("news of " + length + " bytes do not fit their message");
     }
-    return PeerNewsCodec.decode(Compression.inflated(in.readPayload(length)));
+    return PeerUpdateCodec.decode(Compression.inflated(in.readPayload(length)));
   }
 
   private static HeldConfiguration held(MessageUnpacker in) throws IOException {
--- a/front/src/main/java/org/magnoliaswitch/front/peer/MessageCache.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/MessageCache.java
@@ -78,8 +78,8 @@
             crashes);
     if (last == null || !last.told().equals(told)) {
       boolean lacksRoutes = now.routes().version() > toldRoutes;
-      PeerNews message =
-          new PeerNews(
+      PeerUpdate message =
+          new PeerUpdate(
               now.ageMillis(),
               instances,
               lacksRoutes ? Optional.of(now.routes()) : Optional.empty(),
@@ -88,7 +88,7 @@
               crashes,
               Optional.empty(),
               Optional.empty());
-      last = new Encoded(told, PeerNewsCodec.encode(message));
+      last = new Encoded(told, PeerUpdateCodec.encode(message));
     }
     return last.bytes();
   }
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerHub.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerHub.java
@@ -81,7 +81,7 @@
   private final Clocks clocks;
   private final Supplier<Knowledge> knowledge;
   private final Consumer<List<CrashReport>> reported;
-  private final Consumer<PeerNews> passedOn;
+  private final Consumer<PeerUpdate> passedOn;
   private final Set<Listener> listeners = new HashSet<>();
   private final BitSet taken = new BitSet();
   private final LongAdder bytesTold = new LongAdder();
@@ -101,7 +101,7 @@
       Clocks clocks,
       Supplier<Knowledge> knowledge,
       Consumer<List<CrashReport>> reported,
-      Consumer<PeerNews> passedOn) {
+      Consumer<PeerUpdate> passedOn) {
     this.loop = loop;
     this.clocks = clocks;
     this.knowledge = knowledge;
@@ -185,7 +185,7 @@
   private final class Listener extends SimpleChannelInboundHandler<ByteBuf> {
     private final Channel channel;
     private final UpdateFlow updates = new UpdateFlow();
-    private final StallWatch stall = new StallWatch();
+    private final StallDetector stall = new StallDetector();
     private final long sinceNanos = clocks.nanos();
     private int place = OWN_PLACE;
     private ServerList toldServers = ServerList.EMPTY;
@@ -212,7 +212,7 @@
       byte[] bytes = new byte[message.readableBytes()];
       message.readBytes(bytes);
       try {
-        ListenerNews news = ListenerNewsCodec.decode(bytes);
+        ListenerUpdate news = ListenerUpdateCodec.decode(bytes);
         if (news.held().isPresent()) {
           updates.holds(news.held().get(), clocks.nanos());
           tellIfBehind();
@@ -270,7 +270,7 @@
         toldRoutes = Math.max(toldRoutes, version);
       }
       toldServers = now.servers();
-      byte[] end = PeerNewsCodec.encodeEnd(placeAt(place), version, now.routesAgeMillis());
+      byte[] end = PeerUpdateCodec.encodeEnd(placeAt(place), version, now.routesAgeMillis());
       byte[] update =
           updates.send(version, clocks.nanos())
               ? messages.update(now.routes(), updates.heldVersion())
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerSubscription.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerSubscription.java
@@ -54,7 +54,7 @@
      * @param news the message
      * @param servers the peer's whole list
      */
-    void heard(PeerNews news, ServerList servers);
+    void heard(PeerUpdate news, ServerList servers);
   }
 
   private final Loop loop;
@@ -115,7 +115,7 @@
       return;
     }
     if (channel.isWritable()) {
-      send(new ListenerNews(crashes, Optional.of(heldNow()), Optional.empty()));
+      send(new ListenerUpdate(crashes, Optional.of(heldNow()), Optional.empty()));
     } else {
       Channels.close(channel);
     }
@@ -125,7 +125,7 @@
   public void confirm() {
     HeldConfiguration now = heldNow();
     if (channel != null && channel.isWritable() && !now.equals(toldHeld)) {
-      send(new ListenerNews(List.of(), Optional.of(now), Optional.empty()));
+      send(new ListenerUpdate(List.of(), Optional.of(now), Optional.empty()));
     }
   }
 
@@ -140,10 +140,10 @@
    *
    * @param read makes the message, given the version of the peer's configuration
    */
-  public void passOn(LongFunction<PeerNews> read) {
+  public void passOn(LongFunction<PeerUpdate> read) {
     if (channel != null && channel.isWritable()) {
-      PeerNews news = read.apply(peerVersion);
-      send(new ListenerNews(List.of(), Optional.of(heldNow()), Optional.of(news)));
+      PeerUpdate news = read.apply(peerVersion);
+      send(new ListenerUpdate(List.of(), Optional.of(heldNow()), Optional.of(news)));
     }
   }
 
@@ -152,10 +152,10 @@
     return new HeldConfiguration(own.version(), lastUpdate, own.supply());
   }
 
-  private void send(ListenerNews news) {
+  private void send(ListenerUpdate news) {
     toldHeld = news.held().orElse(null);
     if (channel != null) {
-      Channels.write(channel, Unpooled.wrappedBuffer(ListenerNewsCodec.encode(news)));
+      Channels.write(channel, Unpooled.wrappedBuffer(ListenerUpdateCodec.encode(news)));
     }
   }
 
@@ -186,19 +186,19 @@
                 servers = ServerList.EMPTY;
                 lastUpdate = 0;
                 lastHeardNanos = clocks.nanos();
-                send(new ListenerNews(known.get(), Optional.of(heldNow()), Optional.empty()));
+                send(new ListenerUpdate(known.get(), Optional.of(heldNow()), Optional.empty()));
               }
             });
   }
 
   private void heard(byte[] bytes) {
     try {
-      PeerNews news = PeerNewsCodec.decode(bytes);
+      PeerUpdate news = PeerUpdateCodec.decode(bytes);
       peerAsOfNanos = clocks.nanos() - TimeUnit.MILLISECONDS.toNanos(news.ageMillis());
-      peerVersion = news.configuration().map(ConfigurationNews::version).orElse(0L);
+      peerVersion = news.configuration().map(ConfigurationUpdate::version).orElse(0L);
       servers = news.servers().applyTo(servers);
       news.configuration()
-          .flatMap(ConfigurationNews::update)
+          .flatMap(ConfigurationUpdate::update)
           .ifPresent(update -> lastUpdate = update.version());
       if (!hearing) {
         hearing = true;
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerNews.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerUpdate.java
@@ -22,7 +22,7 @@
  * @param configuration the sender's configuration; absent in messages of an earlier release. Only
  *     with a place
  */
-public record PeerNews(
+public record PeerUpdate(
     long ageMillis,
     int instances,
     Optional<RouteTable> routes,
@@ -30,8 +30,8 @@
     Evacuations evacuations,
     List<CrashReport> crashes,
     Optional<InstancePlace> place,
-    Optional<ConfigurationNews> configuration) {
-  public PeerNews {
+    Optional<ConfigurationUpdate> configuration) {
+  public PeerUpdate {
     if (configuration.isPresent() && place.isEmpty()) {
       throw new IllegalArgumentException("a configuration follows a place");
     }
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerNewsCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerUpdateCodec.java
@@ -19,15 +19,15 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Writes and reads {@link PeerNews} as MessagePack; fields stand in the order of the records. */
-public final class PeerNewsCodec {
+/** Writes and reads {@link PeerUpdate} as MessagePack; fields stand in the order of the records. */
+public final class PeerUpdateCodec {
   /** First field of each message; another number is another protocol and refused. */
   private static final int PROTOCOL = 2;
 
-  private PeerNewsCodec() {}
+  private PeerUpdateCodec() {}
 
   /** Encodes a message. */
-  public static byte[] encode(PeerNews news) {
+  public static byte[] encode(PeerUpdate news) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(PROTOCOL);
       out.packLong(news.ageMillis());
@@ -40,13 +40,13 @@
       CrashReportCodec.write(out, news.crashes());
       writeEvacuations(out, news.evacuations());
       if (news.routes().isPresent()) {
-        RouteExtrasCodec.write(out, news.routes().get());
+        RouteExtensionsCodec.write(out, news.routes().get());
       }
       if (news.place().isPresent()) {
         writePlace(out, news.place().get());
       }
       if (news.configuration().isPresent()) {
-        ConfigurationNews configuration = news.configuration().get();
+        ConfigurationUpdate configuration = news.configuration().get();
         out.packLong(configuration.version());
         out.packLong(configuration.ageMillis());
         out.addPayload(RouteUpdateCodec.encode(configuration.update()));
@@ -75,10 +75,10 @@
     }
   }
 
-  private static ConfigurationNews readConfiguration(MessageUnpacker in) throws IOException {
+  private static ConfigurationUpdate readConfiguration(MessageUnpacker in) throws IOException {
     long version = in.unpackLong();
     long age = in.unpackLong();
-    return new ConfigurationNews(version, age, RouteUpdateCodec.read(in));
+    return new ConfigurationUpdate(version, age, RouteUpdateCodec.read(in));
   }
 
   private static void writePlace(MessagePacker out, InstancePlace place) throws IOException {
@@ -92,7 +92,7 @@
   }
 
   /** Decodes a message; anything malformed is an {@link IOException}. */
-  public static PeerNews decode(byte[] bytes) throws IOException {
+  public static PeerUpdate decode(byte[] bytes) throws IOException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       int protocol = in.unpackInt();
       if (protocol != PROTOCOL) {
@@ -107,12 +107,12 @@
       List<CrashReport> crashes = in.hasNext() ? CrashReportCodec.read(in) : List.of();
       Evacuations evacuations = in.hasNext() ? readEvacuations(in) : Evacuations.UNKNOWN;
       if (routes.isPresent() && in.hasNext()) {
-        routes = Optional.of(RouteExtrasCodec.read(in, routes.get()));
+        routes = Optional.of(RouteExtensionsCodec.read(in, routes.get()));
       }
       Optional<InstancePlace> place = in.hasNext() ? Optional.of(readPlace(in)) : Optional.empty();
-      Optional<ConfigurationNews> configuration =
+      Optional<ConfigurationUpdate> configuration =
           in.hasNext() ? Optional.of(readConfiguration(in)) : Optional.empty();
-      return new PeerNews(
+      return new PeerUpdate(
           age, instances, routes, servers, evacuations, crashes, place, configuration);
     } catch (MessagePackException | IllegalArgumentException e) {
       throw new IOException("malformed news", e);
--- a/front/src/main/java/org/magnoliaswitch/front/peer/RouteExtrasCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/RouteExtensionsCodec.java
@@ -19,8 +19,8 @@
  * regions of routes. It stands at the end of a message, where an instance of an earlier release
  * passes over it.
  */
-final class RouteExtrasCodec {
-  private RouteExtrasCodec() {}
+final class RouteExtensionsCodec {
+  private RouteExtensionsCodec() {}
 
   static void write(MessagePacker out, RouteTable table) throws IOException {
     List<ServicePolicy> limited =
--- a/front/src/main/java/org/magnoliaswitch/front/peer/RouteTableCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/RouteTableCodec.java
@@ -12,7 +12,7 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Writes and reads a configuration, but for what {@link RouteExtrasCodec} adds. */
+/** Writes and reads a configuration, but for what {@link RouteExtensionsCodec} adds. */
 final class RouteTableCodec {
   private RouteTableCodec() {}
 
--- a/front/src/main/java/org/magnoliaswitch/front/peer/RouteUpdateCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/RouteUpdateCodec.java
@@ -84,11 +84,11 @@
 
   private static void writeTable(MessagePacker out, RouteTable table) throws IOException {
     RouteTableCodec.write(out, table);
-    RouteExtrasCodec.write(out, table);
+    RouteExtensionsCodec.write(out, table);
   }
 
   private static RouteTable readTable(MessageUnpacker in) throws IOException {
-    return RouteExtrasCodec.read(in, RouteTableCodec.read(in));
+    return RouteExtensionsCodec.read(in, RouteTableCodec.read(in));
   }
 
   /** The changed part is written like a configuration that has nothing else. */
--- a/front/src/main/java/org/magnoliaswitch/front/peer/StallWatch.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/StallDetector.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Tells a listener that reads slowly from one that does not read; used by one thread. */
-final class StallWatch {
+final class StallDetector {
   /** A link that moves nothing for so long has failed, or the listener stands still. */
   private static final long STALLED_NANOS = TimeUnit.SECONDS.toNanos(3);
 
--- a/front/src/main/java/org/magnoliaswitch/front/process/News.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/News.java
@@ -11,11 +11,11 @@
 import org.magnoliaswitch.core.process.CrashWatch;
 import org.magnoliaswitch.front.load.InstancePlace;
 import org.magnoliaswitch.front.loop.Loop;
-import org.magnoliaswitch.front.peer.ConfigurationNews;
+import org.magnoliaswitch.front.peer.ConfigurationUpdate;
 import org.magnoliaswitch.front.peer.HeldConfiguration;
 import org.magnoliaswitch.front.peer.PeerHub;
-import org.magnoliaswitch.front.peer.PeerNews;
 import org.magnoliaswitch.front.peer.PeerSubscription;
+import org.magnoliaswitch.front.peer.PeerUpdate;
 import org.magnoliaswitch.front.peer.ServerChanges;
 import org.magnoliaswitch.front.version.RouteTable;
 import org.magnoliaswitch.front.version.RouteUpdate;
@@ -160,7 +160,7 @@
     return subscriptions.values().stream().anyMatch(PeerSubscription::hearing);
   }
 
-  private void heard(InetSocketAddress seed, PeerNews news, ServerList servers) {
+  private void heard(InetSocketAddress seed, PeerUpdate news, ServerList servers) {
     instancesByPeer.put(seed, news.instances());
     news.place().ifPresent(place -> placesBySeed.put(seed, place));
     learnInstances();
@@ -206,11 +206,11 @@
    *
    * @param version configuration that the receiver has
    */
-  private PeerNews known(long version) {
+  private PeerUpdate known(long version) {
     RouteTable routes = knownState.routes();
     Optional<RouteUpdate> update =
         version < routes.version() ? Optional.of(new RouteUpdate.Whole(routes)) : Optional.empty();
-    return new PeerNews(
+    return new PeerUpdate(
         reader.ageMillis(),
         environment.instances().count(),
         Optional.empty(),
@@ -219,11 +219,11 @@
         List.of(),
         Optional.of(hub.ownPlace()),
         Optional.of(
-            new ConfigurationNews(routes.version(), reader.operatorStateAgeMillis(), update)));
+            new ConfigurationUpdate(routes.version(), reader.operatorStateAgeMillis(), update)));
   }
 
   /** What a listener has read itself; told to all at once, so that none of them reads too. */
-  private void heardOfListener(PeerNews news) {
+  private void heardOfListener(PeerUpdate news) {
     if (news.ageMillis() < reader.ageMillis()) {
       reader.heard(news, news.servers().applyTo(ServerList.EMPTY));
       tell();
--- a/front/src/main/java/org/magnoliaswitch/front/process/NewsReader.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/NewsReader.java
@@ -6,8 +6,8 @@
 import java.util.random.RandomGenerator;
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.front.loop.Loop;
-import org.magnoliaswitch.front.peer.ConfigurationNews;
-import org.magnoliaswitch.front.peer.PeerNews;
+import org.magnoliaswitch.front.peer.ConfigurationUpdate;
+import org.magnoliaswitch.front.peer.PeerUpdate;
 import org.magnoliaswitch.front.version.OperatorState;
 import org.magnoliaswitch.front.version.RouteTable;
 import org.magnoliaswitch.front.version.ServerList;
@@ -111,7 +111,7 @@
   }
 
   /** Takes what a peer knows. */
-  public void heard(PeerNews news, ServerList list) {
+  public void heard(PeerUpdate news, ServerList list) {
     long now = clocks.nanos();
     offer(new OperatorState(routes(news), news.evacuations()), "peer");
     if (list.version() > knownState.servers().version()) {
@@ -120,9 +120,10 @@
     }
     if (list.known() && news.evacuations().known()) {
       servers.confirmed(asOf(news.ageMillis()));
-      long version = news.configuration().map(ConfigurationNews::version).orElse(0L);
+      long version = news.configuration().map(ConfigurationUpdate::version).orElse(0L);
       if (version <= knownState.routesVersion()) {
-        long age = news.configuration().map(ConfigurationNews::ageMillis).orElse(news.ageMillis());
+        long age =
+            news.configuration().map(ConfigurationUpdate::ageMillis).orElse(news.ageMillis());
         operatorState.confirmed(asOf(age));
       }
     }
@@ -133,9 +134,9 @@
   }
 
   /** The configuration that a peer's news lead to; empty if that is the one in force. */
-  private RouteTable routes(PeerNews news) {
+  private RouteTable routes(PeerUpdate news) {
     return news.configuration()
-        .flatMap(ConfigurationNews::update)
+        .flatMap(ConfigurationUpdate::update)
         .flatMap(update -> update.applyTo(knownState.routes()))
         .or(news::routes)
         .orElse(RouteTable.EMPTY);
--- a/front/src/test/java/org/magnoliaswitch/front/peer/PeerHubTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/PeerHubTest.java
@@ -87,22 +87,22 @@
     void holds(long version, long lastUpdate) throws IOException {
       HeldConfiguration held = new HeldConfiguration(version, lastUpdate, Supply.AT_ONCE);
       byte[] bytes =
-          ListenerNewsCodec.encode(
-              new ListenerNews(List.of(), Optional.of(held), Optional.empty()));
+          ListenerUpdateCodec.encode(
+              new ListenerUpdate(List.of(), Optional.of(held), Optional.empty()));
       out.writeInt(bytes.length);
       out.write(bytes);
     }
 
-    PeerNews read() throws IOException {
+    PeerUpdate read() throws IOException {
       byte[] bytes = new byte[in.readInt()];
       in.readFully(bytes);
-      return PeerNewsCodec.decode(bytes);
+      return PeerUpdateCodec.decode(bytes);
     }
 
     RouteUpdate readUpdate() throws IOException {
       Optional<RouteUpdate> update = Optional.empty();
       while (update.isEmpty()) {
-        update = read().configuration().flatMap(ConfigurationNews::update);
+        update = read().configuration().flatMap(ConfigurationUpdate::update);
       }
       return update.get();
     }
--- a/front/src/test/java/org/magnoliaswitch/front/peer/PeerNewsCodecTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/PeerUpdateCodecTest.java
@@ -29,15 +29,15 @@
 import org.testng.annotations.Test;
 
 /** News on the wire between instances. */
-public final class PeerNewsCodecTest {
+public final class PeerUpdateCodecTest {
   private static final RequestIdentity REQUEST = new RequestIdentity(1, -2);
   private static final List<CrashReport> REPORTS =
       List.of(
           new CrashReport.Ended(REQUEST, "i@7", true),
           new CrashReport.Cleared(REQUEST, Set.of("i@7", "j@0"), 2),
           new CrashReport.Tried(REQUEST, 3));
-  private static final PeerNews NEWS =
-      new PeerNews(
+  private static final PeerUpdate NEWS =
+      new PeerUpdate(
           17,
           3,
           Optional.of(
@@ -65,7 +65,7 @@
 
   @Test
   public void whatIsWrittenIsRead() throws IOException {
-    PeerNews read = PeerNewsCodec.decode(PeerNewsCodec.encode(NEWS));
+    PeerUpdate read = PeerUpdateCodec.decode(PeerUpdateCodec.encode(NEWS));
     assertEquals(read.ageMillis(), 17);
     assertEquals(read.instances(), 3);
     assertEquals(read.servers(), NEWS.servers());
@@ -83,12 +83,12 @@
    */
   @Test
   public void reportsOfOtherReleasesArePassedOver() throws IOException {
-    byte[] all = PeerNewsCodec.encode(NEWS);
+    byte[] all = PeerUpdateCodec.encode(NEWS);
     byte[] reports = CrashReportCodec.encode(REPORTS);
     int start = indexOf(all, reports);
-    PeerNews earliest = PeerNewsCodec.decode(Arrays.copyOf(all, start));
+    PeerUpdate earliest = PeerUpdateCodec.decode(Arrays.copyOf(all, start));
     assertEquals(earliest.crashes(), List.of());
-    PeerNews earlier = PeerNewsCodec.decode(Arrays.copyOf(all, start + reports.length));
+    PeerUpdate earlier = PeerUpdateCodec.decode(Arrays.copyOf(all, start + reports.length));
     assertEquals(earlier.crashes(), REPORTS);
     assertFalse(earlier.evacuations().known());
     byte[] later = CrashReportCodec.encode(List.of(new CrashReport.Tried(REQUEST, 3)));
@@ -117,22 +117,22 @@
   /** A peer of another release, or a stranger, sends anything; the reader must only refuse it. */
   @Test
   public void damagedMessagesAreRefusedOrReadButNeverThrowAnythingElse() {
-    byte[] good = PeerNewsCodec.encode(NEWS);
-    DamagedBytes.areReadOrRefused(good, 5, PeerNewsCodec::decode);
+    byte[] good = PeerUpdateCodec.encode(NEWS);
+    DamagedBytes.areReadOrRefused(good, 5, PeerUpdateCodec::decode);
   }
 
   @Test
   public void anotherProtocolIsRefused() {
-    byte[] other = PeerNewsCodec.encode(NEWS);
+    byte[] other = PeerUpdateCodec.encode(NEWS);
     other[0] = 1;
-    assertThrows(IOException.class, () -> PeerNewsCodec.decode(other));
+    assertThrows(IOException.class, () -> PeerUpdateCodec.decode(other));
   }
 
   /** Listeners share the bytes of a message, and each has a place of its own at its end. */
   @Test
   public void aPlaceIsAddedToAMessageThatOthersGetAsWell() throws IOException {
-    PeerNews shared =
-        new PeerNews(
+    PeerUpdate shared =
+        new PeerUpdate(
             0,
             1,
             Optional.empty(),
@@ -142,12 +142,12 @@
             Optional.empty(),
             Optional.empty());
     InstancePlace place = new InstancePlace(3, 97);
-    byte[] message = PeerNewsCodec.encode(shared);
-    byte[] end = PeerNewsCodec.encodeEnd(place, 7, 0);
+    byte[] message = PeerUpdateCodec.encode(shared);
+    byte[] end = PeerUpdateCodec.encodeEnd(place, 7, 0);
     byte[] update = RouteUpdateCodec.encode(Optional.empty());
     byte[] whole = Bytes.concat(message, end, update);
-    assertEquals(PeerNewsCodec.decode(whole).place(), Optional.of(place));
-    assertEquals(PeerNewsCodec.decode(message).place(), Optional.empty());
+    assertEquals(PeerUpdateCodec.decode(whole).place(), Optional.of(place));
+    assertEquals(PeerUpdateCodec.decode(message).place(), Optional.empty());
   }
 
   /** A server that starts again at once, with nothing else changed, must not look unchanged. */
@@ -157,10 +157,10 @@
     ServerList before = new ServerList(1, Map.of("a", entry));
     ServerList after = new ServerList(2, Map.of("a", Servers.restarted(entry)));
     ServerChanges changes = ServerChanges.between(before, after);
-    PeerNews read =
-        PeerNewsCodec.decode(
-            PeerNewsCodec.encode(
-                new PeerNews(
+    PeerUpdate read =
+        PeerUpdateCodec.decode(
+            PeerUpdateCodec.encode(
+                new PeerUpdate(
                     0,
                     1,
                     Optional.empty(),
--- a/front/src/test/java/org/magnoliaswitch/front/peer/RouteUpdateCodecTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/RouteUpdateCodecTest.java
@@ -45,8 +45,8 @@
         Set.of("north"));
   }
 
-  private static PeerNews news(RouteUpdate update) {
-    return new PeerNews(
+  private static PeerUpdate news(RouteUpdate update) {
+    return new PeerUpdate(
         0,
         1,
         Optional.empty(),
@@ -54,11 +54,11 @@
         Evacuations.UNKNOWN,
         List.of(),
         Optional.of(new InstancePlace(0, 1)),
-        Optional.of(new ConfigurationNews(update.version(), 12, Optional.of(update))));
+        Optional.of(new ConfigurationUpdate(update.version(), 12, Optional.of(update))));
   }
 
   private static RouteUpdate roundTrip(RouteUpdate update) throws IOException {
-    PeerNews read = PeerNewsCodec.decode(PeerNewsCodec.encode(news(update)));
+    PeerUpdate read = PeerUpdateCodec.decode(PeerUpdateCodec.encode(news(update)));
     assertEquals(read.configuration().orElseThrow().version(), update.version());
     assertEquals(read.configuration().orElseThrow().ageMillis(), 12);
     return read.configuration().orElseThrow().update().orElseThrow();
@@ -95,16 +95,16 @@
       routes.add(route("r" + i));
     }
     RouteTable table = new RouteTable(9, routes, SERVICES, CallerLimits.DEFAULT);
-    byte[] good = PeerNewsCodec.encode(news(new RouteUpdate.Whole(table)));
-    DamagedBytes.areReadOrRefused(good, 8, PeerNewsCodec::decode);
+    byte[] good = PeerUpdateCodec.encode(news(new RouteUpdate.Whole(table)));
+    DamagedBytes.areReadOrRefused(good, 8, PeerUpdateCodec::decode);
   }
 
   /** What a listener tells. */
   public static final class OfListeners {
     private static final List<CrashReport> REPORTS =
         List.of(new CrashReport.Tried(new RequestIdentity(1, -2), 3));
-    private static final ListenerNews NEWS =
-        new ListenerNews(
+    private static final ListenerUpdate NEWS =
+        new ListenerUpdate(
             REPORTS,
             Optional.of(new HeldConfiguration(9, 7, HeldConfiguration.Supply.IN_RESERVE)),
             Optional.of(
@@ -115,7 +115,7 @@
 
     @Test
     public void whatIsWrittenIsRead() throws IOException {
-      assertEquals(ListenerNewsCodec.decode(ListenerNewsCodec.encode(NEWS)), NEWS);
+      assertEquals(ListenerUpdateCodec.decode(ListenerUpdateCodec.encode(NEWS)), NEWS);
     }
 
     /** Instances are replaced one by one, so releases listen to each other. */
@@ -123,15 +123,15 @@
     public void anEarlierReleaseWritesAndReadsReportsAlone() throws IOException {
       byte[] earlier = CrashReportCodec.encode(REPORTS);
       assertEquals(
-          ListenerNewsCodec.decode(earlier),
-          new ListenerNews(REPORTS, Optional.empty(), Optional.empty()));
-      assertEquals(CrashReportCodec.decode(ListenerNewsCodec.encode(NEWS)), REPORTS);
+          ListenerUpdateCodec.decode(earlier),
+          new ListenerUpdate(REPORTS, Optional.empty(), Optional.empty()));
+      assertEquals(CrashReportCodec.decode(ListenerUpdateCodec.encode(NEWS)), REPORTS);
     }
 
     @Test
     public void damagedNewsAreRefusedOrRead() {
-      byte[] good = ListenerNewsCodec.encode(NEWS);
-      DamagedBytes.areReadOrRefused(good, 9, ListenerNewsCodec::decode);
+      byte[] good = ListenerUpdateCodec.encode(NEWS);
+      DamagedBytes.areReadOrRefused(good, 9, ListenerUpdateCodec::decode);
     }
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/peer/StallWatchTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/StallDetectorTest.java
@@ -7,13 +7,13 @@
 import org.testng.annotations.Test;
 
 /** Slow listeners and those that do not read. */
-public final class StallWatchTest {
+public final class StallDetectorTest {
   private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
   /** Guards against a listener on a narrow link that is disconnected and sent all once more. */
   @Test
   public void whoReadsSlowlyIsNotStalled() {
-    StallWatch watch = new StallWatch();
+    StallDetector watch = new StallDetector();
     for (int second = 0; second < 60; second++) {
       assertFalse(watch.stalled(1_000 - second, second * SECOND));
     }
@@ -21,7 +21,7 @@
 
   @Test
   public void whoDoesNotReadIsStalled() {
-    StallWatch watch = new StallWatch();
+    StallDetector watch = new StallDetector();
     assertFalse(watch.stalled(1_000, SECOND));
     assertFalse(watch.stalled(1_000, 4 * SECOND));
     assertTrue(watch.stalled(1_000, 4 * SECOND + 1));
@@ -29,7 +29,7 @@
 
   @Test
   public void aLaterBacklogIsJudgedByItself() {
-    StallWatch watch = new StallWatch();
+    StallDetector watch = new StallDetector();
     assertFalse(watch.stalled(10, 0));
     watch.flowing();
     assertFalse(watch.stalled(1_000, 9 * SECOND));
