--- a/front/src/main/java/org/magnoliaswitch/front/peer/HeldConfiguration.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/HeldConfiguration.java
@@ -6,16 +6,16 @@
  * @param version version in force at the listener; 0 if none
  * @param lastUpdate version of the last update that came on this connection; 0 if none. Another one
  *     is sent only after it, so that versions never queue up on a narrow link
- * @param supply when it wants updates
+ * @param delivery when it wants updates
  */
-public record HeldConfiguration(long version, long lastUpdate, Supply supply) {
+public record HeldConfiguration(long version, long lastUpdate, Delivery delivery) {
   /** When a listener is sent updates. */
-  public enum Supply {
+  public enum Delivery {
     /** Before all others, since it passes them on. */
     FIRST,
     /** At once. */
-    AT_ONCE,
+    IMMEDIATE,
     /** After a while, since another peer sends them at once. */
-    IN_RESERVE
+    DEFERRED
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/peer/ListenerUpdate.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/ListenerUpdate.java
@@ -9,14 +9,14 @@
  *
  * @param crashes what it has seen of requests under which servers end
  * @param held what it has of the configuration; absent in messages of an earlier release
- * @param passedOn what it has read itself, if the instance that it listens to seems not to be able
+ * @param forwarded what it has read itself, if the instance that it listens to seems not to be able
  *     to; only with what it holds
  */
 record ListenerUpdate(
-    List<CrashReport> crashes, Optional<HeldConfiguration> held, Optional<PeerUpdate> passedOn) {
+    List<CrashReport> crashes, Optional<HeldConfiguration> held, Optional<PeerUpdate> forwarded) {
   ListenerUpdate {
     crashes = List.copyOf(crashes);
-    if (passedOn.isPresent() && held.isEmpty()) {
+    if (forwarded.isPresent() && held.isEmpty()) {
       throw new IllegalArgumentException("what is passed on follows what is held");
     }
   }
--- a/front/src/main/java/org/magnoliaswitch/front/peer/ListenerUpdateCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/ListenerUpdateCodec.java
@@ -15,11 +15,11 @@
  * read the reports alone, and pass over what follows them.
  */
 final class ListenerUpdateCodec {
-  private static final List<HeldConfiguration.Supply> SUPPLIES =
+  private static final List<HeldConfiguration.Delivery> DELIVERIES =
       List.of(
-          HeldConfiguration.Supply.FIRST,
-          HeldConfiguration.Supply.AT_ONCE,
-          HeldConfiguration.Supply.IN_RESERVE);
+          HeldConfiguration.Delivery.FIRST,
+          HeldConfiguration.Delivery.IMMEDIATE,
+          HeldConfiguration.Delivery.DEFERRED);
 
   private ListenerUpdateCodec() {}
 
@@ -30,12 +30,12 @@
         HeldConfiguration held = news.held().get();
         out.packLong(held.version());
         out.packLong(held.lastUpdate());
-        out.packInt(SUPPLIES.indexOf(held.supply()));
+        out.packInt(DELIVERIES.indexOf(held.delivery()));
       }
-      if (news.passedOn().isPresent()) {
-        byte[] passedOn = Compression.deflated(PeerUpdateCodec.encode(news.passedOn().get()));
-        out.packBinaryHeader(passedOn.length);
-        out.writePayload(passedOn);
+      if (news.forwarded().isPresent()) {
+        byte[] forwarded = Compression.deflated(PeerUpdateCodec.encode(news.forwarded().get()));
+        out.packBinaryHeader(forwarded.length);
+        out.writePayload(forwarded);
       }
       return out.toByteArray();
     } catch (IOException e) {
@@ -48,15 +48,15 @@
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       List<CrashReport> crashes = CrashReportCodec.read(in);
       Optional<HeldConfiguration> held = in.hasNext() ? Optional.of(held(in)) : Optional.empty();
-      Optional<PeerUpdate> passedOn =
-          in.hasNext() ? Optional.of(passedOn(in, bytes.length)) : Optional.empty();
-      return new ListenerUpdate(crashes, held, passedOn);
+      Optional<PeerUpdate> forwarded =
+          in.hasNext() ? Optional.of(forwarded(in, bytes.length)) : Optional.empty();
+      return new ListenerUpdate(crashes, held, forwarded);
     } catch (MessagePackException | IllegalArgumentException e) {
       throw new IOException("malformed news of a listener", e);
     }
   }
 
-  private static PeerUpdate passedOn(MessageUnpacker in, int messageLength) throws IOException {
+  private static PeerUpdate forwarded(MessageUnpacker in, int messageLength) throws IOException {
     int length = in.unpackBinaryHeader();
     if (length > messageLength) {
       throw new IOException("news of " + length + " bytes do not fit their message");
@@ -67,10 +67,10 @@
   private static HeldConfiguration held(MessageUnpacker in) throws IOException {
     long version = in.unpackLong();
     long lastUpdate = in.unpackLong();
-    int supply = in.unpackInt();
-    if (supply < 0 || supply >= SUPPLIES.size()) {
-      throw new IOException("supply " + supply + " is not known");
+    int delivery = in.unpackInt();
+    if (delivery < 0 || delivery >= DELIVERIES.size()) {
+      throw new IOException("unknown delivery code " + delivery);
     }
-    return new HeldConfiguration(version, lastUpdate, SUPPLIES.get(supply));
+    return new HeldConfiguration(version, lastUpdate, DELIVERIES.get(delivery));
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/peer/MessageCache.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/MessageCache.java
@@ -61,7 +61,7 @@
    * @param instances how many instances there are
    */
   byte[] message(
-      PeerHub.Knowledge now,
+      PeerHub.Snapshot now,
       int instances,
       ServerList toldServers,
       long toldRoutes,
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerHub.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerHub.java
@@ -69,7 +69,7 @@
    * @param servers servers in force
    * @param crashes requests under which servers end
    */
-  public record Knowledge(
+  public record Snapshot(
       long ageMillis,
       long routesAgeMillis,
       RouteTable routes,
@@ -79,12 +79,12 @@
 
   private final Loop loop;
   private final Clocks clocks;
-  private final Supplier<Knowledge> knowledge;
+  private final Supplier<Snapshot> snapshot;
   private final Consumer<List<CrashReport>> reported;
-  private final Consumer<PeerUpdate> passedOn;
+  private final Consumer<PeerUpdate> forwarded;
   private final Set<Listener> listeners = new HashSet<>();
   private final BitSet taken = new BitSet();
-  private final LongAdder bytesTold = new LongAdder();
+  private final LongAdder bytesSent = new LongAdder();
   private final LongAdder listenersDropped = new LongAdder();
   private final MessageCache messages = new MessageCache();
   private volatile long listenersBehind;
@@ -92,21 +92,21 @@
   /**
    * Creates one that nobody listens to yet.
    *
-   * @param knowledge what listeners are told
+   * @param snapshot what listeners are told
    * @param reported takes what they report
-   * @param passedOn takes what one of them has read itself
+   * @param forwarded takes what one of them has read itself
    */
   public PeerHub(
       Loop loop,
       Clocks clocks,
-      Supplier<Knowledge> knowledge,
+      Supplier<Snapshot> snapshot,
       Consumer<List<CrashReport>> reported,
-      Consumer<PeerUpdate> passedOn) {
+      Consumer<PeerUpdate> forwarded) {
     this.loop = loop;
     this.clocks = clocks;
-    this.knowledge = knowledge;
+    this.snapshot = snapshot;
     this.reported = reported;
-    this.passedOn = passedOn;
+    this.forwarded = forwarded;
     taken.set(OWN_PLACE);
   }
 
@@ -120,7 +120,7 @@
         .childHandler(new Pipeline())
         .bind(address)
         .syncUninterruptibly();
-    loop.everyMillis(HEARTBEAT_MILLIS, this::tellAll);
+    loop.everyMillis(HEARTBEAT_MILLIS, this::publish);
   }
 
   /** Instances that listen, and this one. */
@@ -129,8 +129,8 @@
   }
 
   /** Bytes told to all listeners since the start. */
-  public long bytesTold() {
-    return bytesTold.sum();
+  public long bytesSent() {
+    return bytesSent.sum();
   }
 
   /** Listeners that were disconnected because they did not read, since the start. */
@@ -139,7 +139,7 @@
   }
 
   /** This instance's own place among those that listen to it. */
-  public InstancePlace ownPlace() {
+  public InstancePlace ownIndex() {
     return placeAt(OWN_PLACE);
   }
 
@@ -148,18 +148,18 @@
   }
 
   /** Tells everyone now. */
-  public void tellAll() {
-    tell(List.of());
+  public void publish() {
+    publish(List.of());
   }
 
   /** Tells everyone now, and what is new about requests under which servers end. */
-  public void tell(List<CrashReport> crashes) {
-    Knowledge now = knowledge.get();
+  public void publish(List<CrashReport> crashes) {
+    Snapshot now = snapshot.get();
     messages.inForce(now.routes());
     listeners.stream()
         .sorted(Comparator.comparingInt(listener -> listener.updates.rank()))
         .toList()
-        .forEach(listener -> listener.tell(now, crashes));
+        .forEach(listener -> listener.send(now, crashes));
     listenersBehind = listeners.stream().filter(listener -> listener.updates.behind()).count();
   }
 
@@ -204,7 +204,7 @@
       // The lowest free one: who starts again takes the place that was left.
       place = taken.nextClearBit(OWN_PLACE);
       taken.set(place);
-      tell(knowledge.get(), List.of());
+      send(snapshot.get(), List.of());
     }
 
     @Override
@@ -215,10 +215,10 @@
         ListenerUpdate news = ListenerUpdateCodec.decode(bytes);
         if (news.held().isPresent()) {
           updates.holds(news.held().get(), clocks.nanos());
-          tellIfBehind();
+          sendIfBehind();
         }
         reported.accept(news.crashes());
-        news.passedOn().ifPresent(passedOn);
+        news.forwarded().ifPresent(forwarded);
       } catch (IOException e) {
         logger.atWarning().withCause(e).log(
             "event=peer_report_malformed peer=%s", channel.remoteAddress());
@@ -226,17 +226,17 @@
       }
     }
 
-    private void tellIfBehind() {
-      Knowledge now = knowledge.get();
+    private void sendIfBehind() {
+      Snapshot now = snapshot.get();
       if (updates.heldVersion() < now.routes().version()) {
-        tell(now, List.of());
+        send(now, List.of());
       }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
       if (channel.isActive() && channel.isWritable()) {
-        tell(knowledge.get(), List.of());
+        send(snapshot.get(), List.of());
       }
     }
 
@@ -252,13 +252,13 @@
       Channels.close(context);
     }
 
-    void tell(Knowledge now, List<CrashReport> crashes) {
+    void send(Snapshot now, List<CrashReport> crashes) {
       if (!channel.isWritable()) {
         missedReports |= !crashes.isEmpty();
         closeIfStalled();
         return;
       }
-      stall.flowing();
+      stall.reset();
       List<CrashReport> reports = missedReports ? now.crashes().reports() : crashes;
       missedReports = false;
       long version = now.routes().version();
@@ -275,7 +275,7 @@
           updates.send(version, clocks.nanos())
               ? messages.update(now.routes(), updates.heldVersion())
               : NO_UPDATE;
-      bytesTold.add(message.length + end.length + update.length);
+      bytesSent.add(message.length + end.length + update.length);
       Channels.write(channel, Unpooled.wrappedBuffer(message, end, update));
     }
 
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerSubscription.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerSubscription.java
@@ -54,7 +54,7 @@
      * @param news the message
      * @param servers the peer's whole list
      */
-    void heard(PeerUpdate news, ServerList servers);
+    void received(PeerUpdate news, ServerList servers);
   }
 
   private final Loop loop;
@@ -64,15 +64,15 @@
   private final Supplier<List<CrashReport>> known;
   private final Supplier<HeldConfiguration> held;
   private @Nullable Channel channel;
-  private @Nullable HeldConfiguration toldHeld;
+  private @Nullable HeldConfiguration acknowledged;
   private long lastUpdate;
   private long peerAsOfNanos;
   private long peerVersion;
-  private long hearingSinceNanos;
+  private long receivingSinceNanos;
   private ServerList servers = ServerList.EMPTY;
   private boolean connecting;
-  private boolean hearing;
-  private long lastHeardNanos;
+  private boolean receiving;
+  private long lastReceivedNanos;
 
   /**
    * Creates one that does not listen yet.
@@ -102,8 +102,8 @@
   }
 
   /** Whether news have come lately. */
-  public boolean hearing() {
-    return hearing;
+  public boolean receiving() {
+    return receiving;
   }
 
   /**
@@ -122,9 +122,9 @@
   }
 
   /** Tells the peer what this instance has of the configuration, if that is new to it. */
-  public void confirm() {
+  public void acknowledge() {
     HeldConfiguration now = heldNow();
-    if (channel != null && channel.isWritable() && !now.equals(toldHeld)) {
+    if (channel != null && channel.isWritable() && !now.equals(acknowledged)) {
       send(new ListenerUpdate(List.of(), Optional.of(now), Optional.empty()));
     }
   }
@@ -132,7 +132,9 @@
   /** Whether the peer has known much less than it could for some time. */
   public boolean peerStale() {
     long now = clocks.nanos();
-    return hearing && now - peerAsOfNanos > STALE_NANOS && now - hearingSinceNanos > STALE_NANOS;
+    return receiving
+        && now - peerAsOfNanos > STALE_NANOS
+        && now - receivingSinceNanos > STALE_NANOS;
   }
 
   /**
@@ -140,7 +142,7 @@
    *
    * @param read makes the message, given the version of the peer's configuration
    */
-  public void passOn(LongFunction<PeerUpdate> read) {
+  public void forward(LongFunction<PeerUpdate> read) {
     if (channel != null && channel.isWritable()) {
       PeerUpdate news = read.apply(peerVersion);
       send(new ListenerUpdate(List.of(), Optional.of(heldNow()), Optional.of(news)));
@@ -149,23 +151,23 @@
 
   private HeldConfiguration heldNow() {
     HeldConfiguration own = held.get();
-    return new HeldConfiguration(own.version(), lastUpdate, own.supply());
+    return new HeldConfiguration(own.version(), lastUpdate, own.delivery());
   }
 
   private void send(ListenerUpdate news) {
-    toldHeld = news.held().orElse(null);
+    acknowledged = news.held().orElse(null);
     if (channel != null) {
       Channels.write(channel, Unpooled.wrappedBuffer(ListenerUpdateCodec.encode(news)));
     }
   }
 
   private void check() {
-    boolean silent = clocks.nanos() - lastHeardNanos > SILENT_NANOS;
+    boolean silent = clocks.nanos() - lastReceivedNanos > SILENT_NANOS;
     if (channel != null && (silent || !channel.isActive())) {
       Channels.close(channel);
       channel = null;
-      if (hearing) {
-        hearing = false;
+      if (receiving) {
+        receiving = false;
         logger.atInfo().log("event=peer_lost peer=%s silent=%s", peer, silent);
       }
     }
@@ -185,13 +187,13 @@
                 channel = future.channel();
                 servers = ServerList.EMPTY;
                 lastUpdate = 0;
-                lastHeardNanos = clocks.nanos();
+                lastReceivedNanos = clocks.nanos();
                 send(new ListenerUpdate(known.get(), Optional.of(heldNow()), Optional.empty()));
               }
             });
   }
 
-  private void heard(byte[] bytes) {
+  private void received(byte[] bytes) {
     try {
       PeerUpdate news = PeerUpdateCodec.decode(bytes);
       peerAsOfNanos = clocks.nanos() - TimeUnit.MILLISECONDS.toNanos(news.ageMillis());
@@ -200,12 +202,12 @@
       news.configuration()
           .flatMap(ConfigurationUpdate::update)
           .ifPresent(update -> lastUpdate = update.version());
-      if (!hearing) {
-        hearing = true;
-        hearingSinceNanos = lastHeardNanos;
+      if (!receiving) {
+        receiving = true;
+        receivingSinceNanos = lastReceivedNanos;
         logger.atInfo().log("event=peer_heard peer=%s age_ms=%d", peer, news.ageMillis());
       }
-      listener.heard(news, servers);
+      listener.received(news, servers);
     } catch (IOException e) {
       logger.atWarning().withCause(e).log("event=peer_malformed peer=%s", peer);
       if (channel != null) {
@@ -231,7 +233,7 @@
   private final class Arrivals extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-      lastHeardNanos = clocks.nanos();
+      lastReceivedNanos = clocks.nanos();
       context.fireChannelRead(message);
     }
   }
@@ -241,7 +243,7 @@
     protected void channelRead0(ChannelHandlerContext context, ByteBuf message) {
       byte[] bytes = new byte[message.readableBytes()];
       message.readBytes(bytes);
-      heard(bytes);
+      received(bytes);
     }
 
     @Override
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerUpdate.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerUpdate.java
@@ -18,7 +18,7 @@
  * @param servers what changed in the sender's list since its last message
  * @param evacuations the evacuated data centres
  * @param crashes what is new about requests under which servers end
- * @param place the listener's place among all that listen to the sender
+ * @param instanceIndex the listener's place among all that listen to the sender
  * @param configuration the sender's configuration; absent in messages of an earlier release. Only
  *     with a place
  */
@@ -29,10 +29,10 @@
     ServerChanges servers,
     Evacuations evacuations,
     List<CrashReport> crashes,
-    Optional<InstancePlace> place,
+    Optional<InstancePlace> instanceIndex,
     Optional<ConfigurationUpdate> configuration) {
   public PeerUpdate {
-    if (configuration.isPresent() && place.isEmpty()) {
+    if (configuration.isPresent() && instanceIndex.isEmpty()) {
       throw new IllegalArgumentException("a configuration follows a place");
     }
     crashes = List.copyOf(crashes);
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerUpdateCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerUpdateCodec.java
@@ -42,8 +42,8 @@
       if (news.routes().isPresent()) {
         RouteExtensionsCodec.write(out, news.routes().get());
       }
-      if (news.place().isPresent()) {
-        writePlace(out, news.place().get());
+      if (news.instanceIndex().isPresent()) {
+        writePlace(out, news.instanceIndex().get());
       }
       if (news.configuration().isPresent()) {
         ConfigurationUpdate configuration = news.configuration().get();
--- a/front/src/main/java/org/magnoliaswitch/front/peer/StallDetector.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/StallDetector.java
@@ -11,7 +11,7 @@
   private long progressNanos;
 
   /** Notes that everything has left. */
-  void flowing() {
+  void reset() {
     leastUnsentBytes = Long.MAX_VALUE;
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/peer/UpdateFlow.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/UpdateFlow.java
@@ -48,14 +48,14 @@
 
   /** What is sent first goes to those who pass it on, then to those who get it from nobody else. */
   int rank() {
-    return held.map(known -> rank(known.supply())).orElse(LAST_RANK);
+    return held.map(known -> rank(known.delivery())).orElse(LAST_RANK);
   }
 
-  private static int rank(HeldConfiguration.Supply supply) {
-    return switch (supply) {
+  private static int rank(HeldConfiguration.Delivery delivery) {
+    return switch (delivery) {
       case FIRST -> 0;
-      case AT_ONCE -> 1;
-      case IN_RESERVE -> 2;
+      case IMMEDIATE -> 1;
+      case DEFERRED -> 2;
     };
   }
 
@@ -75,7 +75,7 @@
 
   private boolean due(long nowNanos) {
     boolean reserve =
-        held.filter(known -> known.supply() == HeldConfiguration.Supply.IN_RESERVE).isPresent();
+        held.filter(known -> known.delivery() == HeldConfiguration.Delivery.DEFERRED).isPresent();
     return !reserve || nowNanos - behindSinceNanos >= RESERVE_NANOS;
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/News.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/News.java
@@ -78,7 +78,7 @@
             control,
             environment.clocks(),
             () ->
-                new PeerHub.Knowledge(
+                new PeerHub.Snapshot(
                     reader.ageMillis(),
                     reader.operatorStateAgeMillis(),
                     environment.routes().get(),
@@ -116,7 +116,7 @@
     environment.metrics().gauge("knowledge.age.milliseconds", reader::ageMillis);
     environment.metrics().gauge("configuration.age.milliseconds", reader::operatorStateAgeMillis);
     environment.metrics().gauge("servers.age.milliseconds", reader::serversAgeMillis);
-    environment.metrics().gauge("peer.bytes.told", hub::bytesTold);
+    environment.metrics().gauge("peer.bytes.told", hub::bytesSent);
     environment.metrics().gauge("peer.listeners.dropped", hub::listenersDropped);
     environment.metrics().gauge("peer.listeners.behind", hub::listenersBehind);
     environment.metrics().gauge("instances", () -> environment.instances().count());
@@ -148,7 +148,7 @@
     toReport.clear();
     toTell.clear();
     subscriptions.values().forEach(subscription -> subscription.report(reports));
-    hub.tell(news);
+    hub.publish(news);
   }
 
   /** Whether others hear of what happens here, or there are none. */
@@ -157,12 +157,12 @@
   }
 
   private boolean hearsPeers() {
-    return subscriptions.values().stream().anyMatch(PeerSubscription::hearing);
+    return subscriptions.values().stream().anyMatch(PeerSubscription::receiving);
   }
 
   private void heard(InetSocketAddress seed, PeerUpdate news, ServerList servers) {
     instancesByPeer.put(seed, news.instances());
-    news.place().ifPresent(place -> placesBySeed.put(seed, place));
+    news.instanceIndex().ifPresent(place -> placesBySeed.put(seed, place));
     learnInstances();
     reader.heard(news, servers);
     confirm();
@@ -171,7 +171,7 @@
 
   private void tell() {
     learnInstances();
-    hub.tellAll();
+    hub.publish();
     confirm();
   }
 
@@ -198,7 +198,7 @@
   private void passOn() {
     subscriptions.values().stream()
         .filter(PeerSubscription::peerStale)
-        .forEach(seed -> seed.passOn(this::known));
+        .forEach(seed -> seed.forward(this::known));
   }
 
   /**
@@ -217,7 +217,7 @@
         ServerChanges.between(ServerList.EMPTY, knownState.servers()),
         knownState.evacuations(),
         List.of(),
-        Optional.of(hub.ownPlace()),
+        Optional.of(hub.ownIndex()),
         Optional.of(
             new ConfigurationUpdate(routes.version(), reader.operatorStateAgeMillis(), update)));
   }
@@ -236,7 +236,7 @@
   }
 
   private void confirm() {
-    subscriptions.values().forEach(PeerSubscription::confirm);
+    subscriptions.values().forEach(PeerSubscription::acknowledge);
   }
 
   private HeldConfiguration held(InetSocketAddress seed) {
@@ -247,13 +247,13 @@
    * Seeds share the work: a large configuration from each of them to each instance would keep
    * narrow links busy for seconds. Seeds themselves take it from whoever has it first.
    */
-  private HeldConfiguration.Supply supply(InetSocketAddress seed) {
+  private HeldConfiguration.Delivery supply(InetSocketAddress seed) {
     if (seed()) {
-      return HeldConfiguration.Supply.FIRST;
+      return HeldConfiguration.Delivery.FIRST;
     }
     return seed.equals(supplier())
-        ? HeldConfiguration.Supply.AT_ONCE
-        : HeldConfiguration.Supply.IN_RESERVE;
+        ? HeldConfiguration.Delivery.IMMEDIATE
+        : HeldConfiguration.Delivery.DEFERRED;
   }
 
   /** The first seed that is heard, in an order that differs between instances. */
@@ -263,7 +263,7 @@
     for (int i = 0; i < seeds.size(); i++) {
       InetSocketAddress seed = seeds.get((start + i) % seeds.size());
       PeerSubscription subscription = subscriptions.get(seed);
-      if (subscription != null && subscription.hearing()) {
+      if (subscription != null && subscription.receiving()) {
         return seed;
       }
     }
@@ -290,10 +290,10 @@
   private Optional<InstancePlace> firstPlace() {
     for (InetSocketAddress seed : environment.settings().seeds()) {
       if (seed.equals(environment.settings().peers())) {
-        return Optional.of(hub.ownPlace());
+        return Optional.of(hub.ownIndex());
       }
       PeerSubscription subscription = subscriptions.get(seed);
-      if (subscription != null && subscription.hearing() && placesBySeed.containsKey(seed)) {
+      if (subscription != null && subscription.receiving() && placesBySeed.containsKey(seed)) {
         return Optional.of(placesBySeed.get(seed));
       }
     }
--- a/front/src/test/java/org/magnoliaswitch/front/peer/PeerHubTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/PeerHubTest.java
@@ -17,7 +17,7 @@
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.core.process.CrashWatch;
 import org.magnoliaswitch.front.loop.Loop;
-import org.magnoliaswitch.front.peer.HeldConfiguration.Supply;
+import org.magnoliaswitch.front.peer.HeldConfiguration.Delivery;
 import org.magnoliaswitch.front.version.CallerLimits;
 import org.magnoliaswitch.front.version.Evacuations;
 import org.magnoliaswitch.front.version.Route;
@@ -48,7 +48,7 @@
               loop,
               Clocks.system(),
               () ->
-                  new PeerHub.Knowledge(
+                  new PeerHub.Snapshot(
                       0,
                       0,
                       routes.get(),
@@ -62,7 +62,7 @@
 
     void configure(RouteTable next) {
       routes.set(next);
-      loop.execute(hub::tellAll);
+      loop.execute(hub::publish);
     }
 
     @Override
@@ -85,7 +85,7 @@
     }
 
     void holds(long version, long lastUpdate) throws IOException {
-      HeldConfiguration held = new HeldConfiguration(version, lastUpdate, Supply.AT_ONCE);
+      HeldConfiguration held = new HeldConfiguration(version, lastUpdate, Delivery.IMMEDIATE);
       byte[] bytes =
           ListenerUpdateCodec.encode(
               new ListenerUpdate(List.of(), Optional.of(held), Optional.empty()));
--- a/front/src/test/java/org/magnoliaswitch/front/peer/PeerUpdateCodecTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/PeerUpdateCodecTest.java
@@ -146,8 +146,8 @@
     byte[] end = PeerUpdateCodec.encodeEnd(place, 7, 0);
     byte[] update = RouteUpdateCodec.encode(Optional.empty());
     byte[] whole = Bytes.concat(message, end, update);
-    assertEquals(PeerUpdateCodec.decode(whole).place(), Optional.of(place));
-    assertEquals(PeerUpdateCodec.decode(message).place(), Optional.empty());
+    assertEquals(PeerUpdateCodec.decode(whole).instanceIndex(), Optional.of(place));
+    assertEquals(PeerUpdateCodec.decode(message).instanceIndex(), Optional.empty());
   }
 
   /** A server that starts again at once, with nothing else changed, must not look unchanged. */
--- a/front/src/test/java/org/magnoliaswitch/front/peer/RouteUpdateCodecTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/RouteUpdateCodecTest.java
@@ -106,7 +106,7 @@
     private static final ListenerUpdate NEWS =
         new ListenerUpdate(
             REPORTS,
-            Optional.of(new HeldConfiguration(9, 7, HeldConfiguration.Supply.IN_RESERVE)),
+            Optional.of(new HeldConfiguration(9, 7, HeldConfiguration.Delivery.DEFERRED)),
             Optional.of(
                 news(
                     new RouteUpdate.Changes(
--- a/front/src/test/java/org/magnoliaswitch/front/peer/StallDetectorTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/StallDetectorTest.java
@@ -31,7 +31,7 @@
   public void aLaterBacklogIsJudgedByItself() {
     StallDetector watch = new StallDetector();
     assertFalse(watch.stalled(10, 0));
-    watch.flowing();
+    watch.reset();
     assertFalse(watch.stalled(1_000, 9 * SECOND));
   }
 }
