--- a/front/src/main/java/org/magnoliaswitch/front/connection/CallerConnection.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/CallerConnection.java
@@ -69,7 +69,7 @@
     private final CallerRequest request;
     private final boolean keepAlive;
     private RequestHandler.@Nullable Call call;
-    private @Nullable CallerAnswer answer;
+    private @Nullable CallerResponse answer;
 
     Slot(CallerRequest request, boolean keepAlive) {
       this.request = request;
@@ -142,7 +142,7 @@
     slots.forEach(slot -> listener.release(slot.request.body().length));
     for (Slot slot : slots) {
       if (slot.call != null && slot.answer == null) {
-        slot.call.callerLeft();
+        slot.call.callerDisconnected();
       }
     }
     slots.clear();
@@ -283,7 +283,7 @@
     }
   }
 
-  private void write(Slot slot, CallerAnswer answer) {
+  private void write(Slot slot, CallerResponse answer) {
     listener.release(slot.request.body().length);
     // Idle time counts from the answer: a caller may use the connection again long after a slow
     // one.
@@ -307,9 +307,9 @@
   /** Answers what cannot be read as a request, behind the answers that are still due. */
   private void refuse(HttpResponseStatus status, String reason, @Nullable HttpRequest request) {
     malformed = true;
-    handler.refused(status, reason, Optional.ofNullable(request));
+    handler.rejected(status, reason, Optional.ofNullable(request));
     Slot last = new Slot(UNREADABLE, false);
-    last.answer = new CallerAnswer(status, new DefaultHttpHeaders(), new byte[0]);
+    last.answer = new CallerResponse(status, new DefaultHttpHeaders(), new byte[0]);
     slots.addLast(last);
     flushAnswered();
   }
@@ -319,7 +319,7 @@
     closing = true;
     for (Slot slot : slots) {
       if (slot.call != null && slot.answer == null) {
-        slot.call.callerLeft();
+        slot.call.callerDisconnected();
       }
       listener.release(slot.request.body().length);
     }
--- a/front/src/main/java/org/magnoliaswitch/front/connection/CallerListener.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/CallerListener.java
@@ -76,12 +76,12 @@
   }
 
   /** From now on each answer closes its connection; runs on the event loop. */
-  public void announceStop() {
+  public void startDraining() {
     stopping = true;
   }
 
   /** Takes no further connections and closes idle ones; runs on the event loop. */
-  public void refuseNew() {
+  public void stopAccepting() {
     if (server != null) {
       Channels.close(server);
     }
--- a/front/src/main/java/org/magnoliaswitch/front/connection/CallerAnswer.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/CallerResponse.java
@@ -10,4 +10,4 @@
  * @param headers headers without those that concern one connection only
  * @param body whole body
  */
-public record CallerAnswer(HttpResponseStatus status, HttpHeaders headers, byte[] body) {}
+public record CallerResponse(HttpResponseStatus status, HttpHeaders headers, byte[] body) {}
--- a/front/src/main/java/org/magnoliaswitch/front/connection/RequestHandler.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/RequestHandler.java
@@ -10,7 +10,7 @@
   /** A request in progress, as its caller's connection sees it. */
   interface Call {
     /** The caller has left: nobody waits for the answer any more. */
-    void callerLeft();
+    void callerDisconnected();
   }
 
   /** Whether the request may run more than once, and so beside others of its connection. */
@@ -21,8 +21,8 @@
    *
    * @param head its head, as far as it was read
    */
-  default void refused(HttpResponseStatus status, String reason, Optional<HttpRequest> head) {}
+  default void rejected(HttpResponseStatus status, String reason, Optional<HttpRequest> head) {}
 
   /** Starts a request; the answer is given exactly once unless the caller leaves. */
-  Call start(CallerRequest request, Consumer<CallerAnswer> answer);
+  Call start(CallerRequest request, Consumer<CallerResponse> answer);
 }
--- a/front/src/main/java/org/magnoliaswitch/front/connection/ServerConnection.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/ServerConnection.java
@@ -224,7 +224,7 @@
     } else {
       releaseDue = true;
     }
-    finish(new ServerReply.Whole(response.status(), response.headers(), bytes));
+    finish(new ServerReply.Complete(response.status(), response.headers(), bytes));
   }
 
   private void finish(ServerReply reply) {
--- a/front/src/main/java/org/magnoliaswitch/front/connection/ServerPool.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/ServerPool.java
@@ -49,7 +49,7 @@
    *
    * @param maxIdleNanos idle time after which a connection is not trusted with the request
    */
-  public Optional<ServerConnection> takeIdle(long maxIdleNanos) {
+  public Optional<ServerConnection> acquireIdle(long maxIdleNanos) {
     ServerConnection connection = idle.peekLast();
     if (connection == null || !connection.usable(clocks.nanos(), maxIdleNanos)) {
       return Optional.empty();
@@ -88,18 +88,18 @@
    * cut path, and counts as living, as one that must be left alone does. Callers that ask at the
    * same time share the answer.
    */
-  public void findWhetherEnded(Consumer<Boolean> told) {
+  public void checkCrashed(Consumer<Boolean> told) {
     if (state.evacuated()) {
       told.accept(false);
       return;
     }
     askingWhetherEnded.add(told);
     if (askingWhetherEnded.size() == 1) {
-      findWhetherEnded(FIRST_LOOK);
+      checkCrashed(FIRST_LOOK);
     }
   }
 
-  private void findWhetherEnded(int look) {
+  private void checkCrashed(int look) {
     connect(
         connection -> connector.afterMillis(SETTLE_MILLIS, () -> settled(connection, look)),
         cause -> tellWhetherEnded(ServerConnector.refused(cause)));
@@ -109,12 +109,12 @@
   private void settled(ServerConnection connection, int look) {
     boolean keeps = connection.usable(clocks.nanos(), Long.MAX_VALUE);
     if (keeps) {
-      giveBack(connection);
+      release(connection);
     }
     if (keeps || look == LAST_LOOK) {
       tellWhetherEnded(false);
     } else {
-      findWhetherEnded(look + 1);
+      checkCrashed(look + 1);
     }
   }
 
@@ -125,7 +125,7 @@
   }
 
   /** Gives back a connection that was taken but not used. */
-  public void giveBack(ServerConnection connection) {
+  public void release(ServerConnection connection) {
     new Members().released(connection);
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/connection/ServerReply.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/ServerReply.java
@@ -12,7 +12,7 @@
    * @param headers headers of the server
    * @param body whole body
    */
-  record Whole(HttpResponseStatus status, HttpHeaders headers, byte[] body)
+  record Complete(HttpResponseStatus status, HttpHeaders headers, byte[] body)
       implements ServerReply {}
 
   /**
--- a/front/src/main/java/org/magnoliaswitch/front/logging/LineEncoder.java
+++ b/front/src/main/java/org/magnoliaswitch/front/logging/LogLineEncoder.java
@@ -7,7 +7,7 @@
 import java.time.Instant;
 
 /** Writes an event as one line of key=value pairs. */
-final class LineEncoder extends EncoderBase<ILoggingEvent> {
+final class LogLineEncoder extends EncoderBase<ILoggingEvent> {
   private static final byte[] NOTHING = new byte[0];
 
   @Override
--- a/front/src/main/java/org/magnoliaswitch/front/logging/LogSetup.java
+++ b/front/src/main/java/org/magnoliaswitch/front/logging/LogSetup.java
@@ -31,7 +31,7 @@
   @Override
   public ExecutionStatus configure(LoggerContext context) {
     context.getStatusManager().add(new ProblemPrinter());
-    LineEncoder encoder = new LineEncoder();
+    LogLineEncoder encoder = new LogLineEncoder();
     encoder.setContext(context);
     encoder.start();
     ConsoleAppender<ILoggingEvent> output = new ConsoleAppender<>();
--- a/front/src/main/java/org/magnoliaswitch/front/process/Front.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/Front.java
@@ -79,12 +79,12 @@
     long grace = environment.settings().graceNanos() - RESERVE_NANOS;
     long notice = Math.min(NOTICE_NANOS, grace / 2);
     long deadline = environment.clocks().nanos() + grace;
-    loop.execute(callers::announceStop);
+    loop.execute(callers::startDraining);
     loop.after(notice, () -> drain(deadline, stopped));
   }
 
   private void drain(long deadline, Runnable stopped) {
-    callers.refuseNew();
+    callers.stopAccepting();
     boolean late = environment.clocks().nanos() - deadline >= 0;
     if (callers.size() == 0 || late) {
       environment.log().belief("stopped").add("open", callers.size()).write();
--- a/front/src/main/java/org/magnoliaswitch/front/request/Answers.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Answers.java
@@ -7,7 +7,7 @@
 import java.math.BigDecimal;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
-import org.magnoliaswitch.front.connection.CallerAnswer;
+import org.magnoliaswitch.front.connection.CallerResponse;
 import org.magnoliaswitch.front.connection.ServerReply;
 
 /** Answers that this instance gives itself. */
@@ -19,7 +19,7 @@
    *
    * @param retryAfterNanos time after which it may
    */
-  static CallerAnswer notRun(String reason, long retryAfterNanos) {
+  static CallerResponse notRun(String reason, long retryAfterNanos) {
     HttpHeaders headers = new DefaultHttpHeaders();
     BigDecimal seconds = BigDecimal.valueOf(TimeUnit.NANOSECONDS.toMillis(retryAfterNanos), 3);
     headers.set(HttpHeaderNames.RETRY_AFTER, seconds.toPlainString());
@@ -30,19 +30,19 @@
    * A server's own answer. A refusal that does not say that the request has not run is no promise,
    * and callers would take it for one.
    */
-  static CallerAnswer passedOn(ServerReply.Whole whole) {
+  static CallerResponse passedOn(ServerReply.Complete whole) {
     return promisesNotRun(whole.status().code())
         ? unknown(HttpResponseStatus.BAD_GATEWAY, "unconfirmed_refusal")
-        : new CallerAnswer(whole.status(), Headers.endToEnd(whole.headers()), whole.body());
+        : new CallerResponse(whole.status(), Headers.endToEnd(whole.headers()), whole.body());
   }
 
   /** Nothing is known of whether the request has run. */
-  static CallerAnswer unknown(HttpResponseStatus status, String reason) {
+  static CallerResponse unknown(HttpResponseStatus status, String reason) {
     return answer(status, new DefaultHttpHeaders(), reason);
   }
 
   /** No route covers the request. */
-  static CallerAnswer noRoute() {
+  static CallerResponse noRoute() {
     return answer(HttpResponseStatus.NOT_FOUND, new DefaultHttpHeaders(), "no_route");
   }
 
@@ -53,8 +53,9 @@
         || status == HttpResponseStatus.SERVICE_UNAVAILABLE.code();
   }
 
-  private static CallerAnswer answer(HttpResponseStatus status, HttpHeaders headers, String text) {
+  private static CallerResponse answer(
+      HttpResponseStatus status, HttpHeaders headers, String text) {
     headers.set(HttpHeaderNames.CONTENT_TYPE, "text/plain");
-    return new CallerAnswer(status, headers, text.getBytes(StandardCharsets.UTF_8));
+    return new CallerResponse(status, headers, text.getBytes(StandardCharsets.UTF_8));
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
@@ -80,7 +80,8 @@
     pool.state().sent();
     boolean anyKept =
         idempotent || !environment.settings().mechanisms().on(Mechanism.FRESH_CONNECTIONS);
-    Optional<ServerConnection> kept = pool.takeIdle(anyKept ? MAX_IDLE_NANOS : MAX_IDLE_ONCE_NANOS);
+    Optional<ServerConnection> kept =
+        pool.acquireIdle(anyKept ? MAX_IDLE_NANOS : MAX_IDLE_ONCE_NANOS);
     if (kept.isPresent()) {
       write(kept.get());
     } else {
@@ -137,7 +138,7 @@
 
   private void connected(ServerConnection opened) {
     if (ended || !exchange.waiting() || !pool.state().acceptsWork()) {
-      pool.giveBack(opened);
+      pool.release(opened);
       if (!ended) {
         end();
         exchange.unreachable(this, "too_late");
@@ -158,20 +159,20 @@
   private void write(ServerConnection target) {
     long leftMillis = TimeUnit.NANOSECONDS.toMillis(exchange.leftNanos());
     if (leftMillis <= 0) {
-      pool.giveBack(target);
+      pool.release(target);
       end();
       exchange.unreachable(this, "deadline");
       return;
     }
     if (!environment.quotas().allowed(pool.state())) {
-      pool.giveBack(target);
+      pool.release(target);
       end();
       exchange.heldBack(this);
       return;
     }
     Verdict verdict = exchange.guard().crashes().admit();
     if (verdict == Verdict.REFUSED || verdict == Verdict.WAIT) {
-      pool.giveBack(target);
+      pool.release(target);
       end();
       exchange.heldBack(this);
       return;
@@ -222,7 +223,7 @@
     }
     end();
     switch (reply) {
-      case ServerReply.Whole whole -> whole(whole);
+      case ServerReply.Complete whole -> whole(whole);
       case ServerReply.Broken broken -> {
         environment.servers().failed(pool.state(), "broken");
         exchange.guard().broke(pool, warned);
@@ -231,7 +232,7 @@
     }
   }
 
-  private void whole(ServerReply.Whole whole) {
+  private void whole(ServerReply.Complete whole) {
     learnLoad(whole);
     int status = whole.status().code();
     if (status == HttpResponseStatus.MISDIRECTED_REQUEST.code()) {
@@ -250,7 +251,7 @@
     }
   }
 
-  private ServerNotice notice(ServerReply.Whole whole) {
+  private ServerNotice notice(ServerReply.Complete whole) {
     return NoticeHeaders.read(whole, environment.names());
   }
 
@@ -262,7 +263,7 @@
     exchange.learnLatency(environment.clocks().nanos() - sentNanos, slownessAtStart, pool.state());
   }
 
-  private void learnLoad(ServerReply.Whole whole) {
+  private void learnLoad(ServerReply.Complete whole) {
     String load = whole.headers().get(environment.names().load());
     if (load != null) {
       int own = pool.state().inFlight();
--- a/front/src/main/java/org/magnoliaswitch/front/request/CrashGuard.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/CrashGuard.java
@@ -41,7 +41,7 @@
   void broke(ServerPool pool, boolean warned) {
     String server = pool.state().entry().incarnation();
     crashes.perhapsEnded(server);
-    pool.findWhetherEnded(
+    pool.checkCrashed(
         ended -> {
           if (ended) {
             environment.servers().unreachable(pool.state());
--- a/front/src/main/java/org/magnoliaswitch/front/request/Exchange.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Exchange.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.magnoliaswitch.front.connection.CallerAnswer;
 import org.magnoliaswitch.front.connection.CallerRequest;
+import org.magnoliaswitch.front.connection.CallerResponse;
 import org.magnoliaswitch.front.connection.RequestHandler;
 import org.magnoliaswitch.front.load.PendingQueue;
 import org.magnoliaswitch.front.load.RetryAfter;
@@ -33,7 +33,7 @@
   private final ServerFinder finder;
   private final PendingQueue<Placing> pending;
   private final CallerRequest request;
-  private final Consumer<CallerAnswer> answer;
+  private final Consumer<CallerResponse> answer;
   private final RequestReport report;
   private Optional<RoutedExchange> routed = Optional.empty();
   private boolean done;
@@ -43,7 +43,7 @@
       ServerFinder finder,
       PendingQueue<Placing> pending,
       CallerRequest request,
-      Consumer<CallerAnswer> answer) {
+      Consumer<CallerResponse> answer) {
     this.environment = environment;
     this.finder = finder;
     this.pending = pending;
@@ -97,9 +97,9 @@
   }
 
   @Override
-  public void callerLeft() {
+  public void callerDisconnected() {
     if (routed.isPresent()) {
-      routed.get().callerLeft();
+      routed.get().callerDisconnected();
     } else if (!done) {
       done = true;
       reportEnd("caller_left", 0);
@@ -111,7 +111,7 @@
     routed.ifPresent(RoutedExchange::crashesChanged);
   }
 
-  private void finish(CallerAnswer result, String outcome) {
+  private void finish(CallerResponse result, String outcome) {
     done = true;
     reportEnd(outcome, result.status().code());
     answer.accept(result);
--- a/front/src/main/java/org/magnoliaswitch/front/request/FrontDispatcher.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/FrontDispatcher.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.magnoliaswitch.front.connection.CallerAnswer;
 import org.magnoliaswitch.front.connection.CallerRequest;
+import org.magnoliaswitch.front.connection.CallerResponse;
 import org.magnoliaswitch.front.connection.RequestHandler;
 import org.magnoliaswitch.front.load.PendingQueue;
 import org.magnoliaswitch.front.process.Environment;
@@ -42,7 +42,7 @@
   }
 
   @Override
-  public void refused(HttpResponseStatus status, String reason, Optional<HttpRequest> head) {
+  public void rejected(HttpResponseStatus status, String reason, Optional<HttpRequest> head) {
     environment.metrics().count("unreadable.requests", "", String.valueOf(status.code()));
     environment
         .log()
@@ -65,7 +65,7 @@
   }
 
   @Override
-  public Call start(CallerRequest request, Consumer<CallerAnswer> answer) {
+  public Call start(CallerRequest request, Consumer<CallerResponse> answer) {
     UnderWay call = new UnderWay(request, answer);
     underWay.add(call.exchange);
     call.exchange.start(() -> route(request));
@@ -76,7 +76,7 @@
   private final class UnderWay implements Call {
     private final Exchange exchange;
 
-    UnderWay(CallerRequest request, Consumer<CallerAnswer> answer) {
+    UnderWay(CallerRequest request, Consumer<CallerResponse> answer) {
       this.exchange =
           new Exchange(
               environment,
@@ -90,9 +90,9 @@
     }
 
     @Override
-    public void callerLeft() {
+    public void callerDisconnected() {
       ended();
-      exchange.callerLeft();
+      exchange.callerDisconnected();
     }
 
     private void ended() {
--- a/front/src/main/java/org/magnoliaswitch/front/request/NoticeHeaders.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/NoticeHeaders.java
@@ -21,7 +21,7 @@
   private NoticeHeaders() {}
 
   /** The notice in an answer; a value that is no number asks for nothing. */
-  static ServerNotice read(ServerReply.Whole answer, HeaderNames names) {
+  static ServerNotice read(ServerReply.Complete answer, HeaderNames names) {
     boolean leaving = !answer.headers().get(names.leaving(), NO).equals(NO);
     Optional<Double> limit = decimal(answer.headers().get(names.requestLimit()));
     OptionalLong pause =
@@ -32,7 +32,7 @@
         leaving, limit.map(OptionalDouble::of).orElseGet(OptionalDouble::empty), pause.orElse(0));
   }
 
-  private static boolean turnedAway(ServerReply.Whole answer) {
+  private static boolean turnedAway(ServerReply.Complete answer) {
     int status = answer.status().code();
     return status == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
         || status == HttpResponseStatus.TOO_MANY_REQUESTS.code();
--- a/front/src/main/java/org/magnoliaswitch/front/request/Probes.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Probes.java
@@ -101,7 +101,7 @@
     }
 
     void ask(ServerPool pool, String healthPath) {
-      Optional<ServerConnection> kept = pool.takeIdle(MAX_IDLE_NANOS);
+      Optional<ServerConnection> kept = pool.acquireIdle(MAX_IDLE_NANOS);
       if (kept.isPresent()) {
         open++;
         ask(pool, kept.get(), healthPath);
@@ -120,7 +120,7 @@
       if (allowsChecks(pool.state())) {
         ask(pool, opened, healthPath);
       } else {
-        pool.giveBack(opened);
+        pool.release(opened);
         answered();
       }
     }
@@ -175,9 +175,9 @@
 
     void ended(ServerReply reply) {
       ended = true;
-      boolean answered = reply instanceof ServerReply.Whole;
+      boolean answered = reply instanceof ServerReply.Complete;
       environment.metrics().count("probes", service(), answered ? "answered" : "broken");
-      if (reply instanceof ServerReply.Whole whole) {
+      if (reply instanceof ServerReply.Complete whole) {
         learn(whole);
       }
       round.answered();
@@ -210,7 +210,7 @@
       }
     }
 
-    private void learn(ServerReply.Whole whole) {
+    private void learn(ServerReply.Complete whole) {
       String id = whole.headers().get(environment.names().serverId());
       if (id != null && !id.equals(pool.state().entry().id())) {
         pool.state().markGone();
--- a/front/src/main/java/org/magnoliaswitch/front/request/RequestFate.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RequestFate.java
@@ -3,19 +3,19 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
-import org.magnoliaswitch.front.connection.CallerAnswer;
+import org.magnoliaswitch.front.connection.CallerResponse;
 
 /** What earlier sends have made known of a request that gets no answer of success. */
 final class RequestFate {
   private boolean perhapsRun;
-  private @Nullable CallerAnswer serverFailure;
+  private @Nullable CallerResponse serverFailure;
 
   /**
    * A final answer.
    *
    * @param outcome one word for the log
    */
-  record End(CallerAnswer answer, String outcome) {}
+  record End(CallerResponse answer, String outcome) {}
 
   /** A send brought no answer after some of the request was written. */
   void perhapsRun() {
@@ -23,7 +23,7 @@
   }
 
   /** A server ran the request and answered with a failure. */
-  void serverFailed(CallerAnswer failure) {
+  void serverFailed(CallerResponse failure) {
     perhapsRun = true;
     serverFailure = failure;
   }
--- a/front/src/main/java/org/magnoliaswitch/front/request/RoutedExchange.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RoutedExchange.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import org.magnoliaswitch.core.crash.Verdict;
-import org.magnoliaswitch.front.connection.CallerAnswer;
 import org.magnoliaswitch.front.connection.CallerRequest;
+import org.magnoliaswitch.front.connection.CallerResponse;
 import org.magnoliaswitch.front.connection.ServerPool;
 import org.magnoliaswitch.front.connection.ServerReply;
 import org.magnoliaswitch.front.load.HedgeDelay;
@@ -38,7 +38,7 @@
   private final Environment environment;
   private final CallerRequest request;
   private final Route route;
-  private final Consumer<CallerAnswer> answer;
+  private final Consumer<CallerResponse> answer;
   private final RequestReport report;
   private final CrashGuard guard;
   private final RequestTimes times;
@@ -59,7 +59,7 @@
       CallerRequest request,
       Route route,
       RequestReport report,
-      Consumer<CallerAnswer> answer) {
+      Consumer<CallerResponse> answer) {
     this.environment = environment;
     this.request = request;
     this.route = route;
@@ -98,7 +98,7 @@
   }
 
   /** Nobody waits for the answer any more. */
-  void callerLeft() {
+  void callerDisconnected() {
     if (done) {
       return;
     }
@@ -240,13 +240,13 @@
     }
   }
 
-  void answered(Attempt attempt, ServerReply.Whole whole) {
+  void answered(Attempt attempt, ServerReply.Complete whole) {
     open.remove(attempt);
     if (done) {
       return;
     }
     boolean failed = whole.status().code() >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
-    CallerAnswer result = Answers.passedOn(whole);
+    CallerResponse result = Answers.passedOn(whole);
     if (failed) {
       fate.serverFailed(result);
     }
@@ -321,7 +321,7 @@
     cancelled.forEach(attempt -> attempt.timedOut(route.idempotent()));
   }
 
-  private void finish(CallerAnswer result, String outcome) {
+  private void finish(CallerResponse result, String outcome) {
     if (done) {
       return;
     }
--- a/front/src/test/java/org/magnoliaswitch/front/connection/CallerConnectionTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/connection/CallerConnectionTest.java
@@ -32,7 +32,7 @@
   /** A caller on a connection, and time. */
   private static final class Caller {
     private long nowNanos = 100 * SECOND;
-    private final List<Consumer<CallerAnswer>> waiting = new ArrayList<>();
+    private final List<Consumer<CallerResponse>> waiting = new ArrayList<>();
     private final List<String> left = new ArrayList<>();
     private final Clocks clocks =
         new Clocks(
@@ -52,7 +52,7 @@
           }
 
           @Override
-          public Call start(CallerRequest request, Consumer<CallerAnswer> answer) {
+          public Call start(CallerRequest request, Consumer<CallerResponse> answer) {
             waiting.add(answer);
             return () -> left.add(request.target());
           }
@@ -87,7 +87,7 @@
     private void answer(int index) {
       waiting
           .get(index)
-          .accept(new CallerAnswer(HttpResponseStatus.OK, new DefaultHttpHeaders(), new byte[0]));
+          .accept(new CallerResponse(HttpResponseStatus.OK, new DefaultHttpHeaders(), new byte[0]));
     }
 
     private void pass(long seconds) {
--- a/front/src/test/java/org/magnoliaswitch/front/connection/ChangedLimitsTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/connection/ChangedLimitsTest.java
@@ -41,14 +41,14 @@
         }
 
         @Override
-        public Call start(CallerRequest request, Consumer<CallerAnswer> answer) {
+        public Call start(CallerRequest request, Consumer<CallerResponse> answer) {
           answer.accept(
-              new CallerAnswer(HttpResponseStatus.OK, new DefaultHttpHeaders(), new byte[0]));
+              new CallerResponse(HttpResponseStatus.OK, new DefaultHttpHeaders(), new byte[0]));
           return () -> {};
         }
 
         @Override
-        public void refused(HttpResponseStatus status, String reason, Optional<HttpRequest> head) {
+        public void rejected(HttpResponseStatus status, String reason, Optional<HttpRequest> head) {
           REFUSALS.add(status.code() + " " + reason + " " + head.map(HttpRequest::uri).orElse("-"));
         }
       };
--- a/front/src/test/java/org/magnoliaswitch/front/load/AdmissionLimitTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/AdmissionLimitTest.java
@@ -40,7 +40,7 @@
   @Test(dataProvider = "loads")
   public void slotsAreFilledToTheKneeAndLateRequestsLeaveOneMore(
       int running, Timeliness timeliness, boolean room) {
-    ServerState server = Servers.told("a", running, 1, NOW);
+    ServerState server = Servers.reporting("a", running, 1, NOW);
     assertEquals(hasRoom(server, service(running), timeliness, NOW), room);
   }
 
@@ -50,7 +50,7 @@
    */
   @Test
   public void oldNewsOfAnIdleServerDoNotCountOnABusyDay() {
-    ServerState server = Servers.told("a", 0, 1, NOW);
+    ServerState server = Servers.reporting("a", 0, 1, NOW);
     long later = NOW + TimeUnit.SECONDS.toNanos(1);
     assertEquals(hasRoom(server, service(5), Timeliness.IN_TIME, later), false);
     assertEquals(hasRoom(server, service(1), Timeliness.IN_TIME, later), true);
--- a/front/src/test/java/org/magnoliaswitch/front/load/ColdShareTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/ColdShareTest.java
@@ -179,7 +179,7 @@
     private static final long SPAN_NANOS = TimeUnit.SECONDS.toNanos(3);
 
     /** Each instance holds a bucket that fills at an even part of the limit. */
-    private static final class Buckets implements Bursts.Way {
+    private static final class Buckets implements Bursts.SendPolicy {
       private final List<RateLimit> buckets = new ArrayList<>();
       private final double perSecond;
 
@@ -201,7 +201,7 @@
     }
 
     /** Few instances are drawn. */
-    private static final class Drawn implements Bursts.Way {
+    private static final class Drawn implements Bursts.SendPolicy {
       private final List<SendWindow> windows = new ArrayList<>();
       private final String server;
 
@@ -226,9 +226,9 @@
       }
     }
 
-    private static long worst(Bursts.Way way) {
-      List<Long> sends = Bursts.play(way, INSTANCES, 0, SPAN_NANOS, STEP_NANOS);
-      return Bursts.mostInSpan(sends, TimeUnit.SECONDS.toNanos(1));
+    private static long worst(Bursts.SendPolicy way) {
+      List<Long> sends = Bursts.simulate(way, INSTANCES, 0, SPAN_NANOS, STEP_NANOS);
+      return Bursts.maxInWindow(sends, TimeUnit.SECONDS.toNanos(1));
     }
 
     /**
--- a/front/src/test/java/org/magnoliaswitch/front/load/LoadReplayTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/LoadReplayTest.java
@@ -70,7 +70,7 @@
       for (int instance = 0; instance < INSTANCES; instance++) {
         List<ServerState> own = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
-          own.add(Servers.told("s" + i, 0, 1, 0));
+          own.add(Servers.reporting("s" + i, 0, 1, 0));
         }
         states.add(own);
         loads.add(new ServiceLoad());
--- a/front/src/test/java/org/magnoliaswitch/front/load/PlacementTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/PlacementTest.java
@@ -44,15 +44,15 @@
 
     @Test
     public void aServerThatIsSlowAtTheMomentIsPassedBy() {
-      ServerState slow = Servers.told("slow", 0, 4, NOW);
-      ServerState busy = Servers.told("busy", 3, 1, NOW);
+      ServerState slow = Servers.reporting("slow", 0, 4, NOW);
+      ServerState busy = Servers.reporting("busy", 3, 1, NOW);
       assertEquals(outer.best(List.of(slow, busy), NOW), "busy");
     }
 
     @Test
     public void aServerAboveItsKneeIsPassedBy() {
-      ServerState full = Servers.told("full", 6, 1, NOW);
-      ServerState free = Servers.told("free", 3, 1, NOW);
+      ServerState full = Servers.reporting("full", 6, 1, NOW);
+      ServerState free = Servers.reporting("free", 3, 1, NOW);
       assertEquals(outer.best(List.of(full, free), NOW), "free");
     }
 
@@ -62,10 +62,10 @@
      */
     @Test
     public void anOldSampleOfASlowMomentFades() {
-      ServerState once = Servers.told("once-slow", 0, 4, NOW);
+      ServerState once = Servers.reporting("once-slow", 0, 4, NOW);
       long later = NOW + TimeUnit.SECONDS.toNanos(2);
       PlacementContext context = context(later);
-      double usual = Placement.predictedNanos(Servers.told("x", 0, 1.75, later), context);
+      double usual = Placement.predictedNanos(Servers.reporting("x", 0, 1.75, later), context);
       assertEquals(Placement.predictedNanos(once, context) / usual, 1.0, 0.05);
     }
   }
@@ -80,8 +80,8 @@
      */
     @Test
     public void aServerThatFailsHalfIsPassedBy() {
-      ServerState grey = Servers.told("grey", 0, 1, NOW);
-      ServerState busy = Servers.told("busy", 4, 1, NOW);
+      ServerState grey = Servers.reporting("grey", 0, 1, NOW);
+      ServerState busy = Servers.reporting("busy", 4, 1, NOW);
       for (int i = 0; i < 5; i++) {
         grey.failed(NOW);
         grey.succeeded(1, NOW);
@@ -91,7 +91,7 @@
 
     @Test
     public void aServerThatFailedIsTriedAgainLater() {
-      ServerState failed = Servers.told("failed", 0, 1, NOW);
+      ServerState failed = Servers.reporting("failed", 0, 1, NOW);
       failed.failed(NOW);
       failed.failed(NOW);
       long later = NOW + TimeUnit.SECONDS.toNanos(60);
@@ -102,7 +102,7 @@
     public void whenAllFailOneIsStillChosen() {
       List<ServerState> servers = new ArrayList<>();
       for (int i = 0; i < 4; i++) {
-        ServerState server = Servers.told("s" + i, 0, 1, NOW);
+        ServerState server = Servers.reporting("s" + i, 0, 1, NOW);
         for (int k = 0; k < 10; k++) {
           server.failed(NOW);
         }
@@ -117,8 +117,8 @@
      */
     @Test
     public void aServerWithLongLatenciesIsPassedBy() {
-      ServerState slow = Servers.told("slow", 0, 1, NOW);
-      ServerState usual = Servers.told("usual", 2, 1, NOW);
+      ServerState slow = Servers.reporting("slow", 0, 1, NOW);
+      ServerState usual = Servers.reporting("usual", 2, 1, NOW);
       for (int i = 0; i < 6; i++) {
         slow.succeeded(5, NOW);
         usual.succeeded(1, NOW);
@@ -140,7 +140,7 @@
 
     @Test
     public void notWhereAnAnswerWouldBeLateBecauseOfTheMoment() {
-      ServerState slow = Servers.told("slow", 0, 5, NOW);
+      ServerState slow = Servers.reporting("slow", 0, 5, NOW);
       assertFalse(Placement.fits(slow, allowed(160, 400)));
       assertTrue(Placement.fits(slow, allowed(160, 800)));
     }
@@ -151,7 +151,7 @@
      */
     @Test
     public void alsoWhereOwnAnswersWereSlowLately() {
-      ServerState recovered = Servers.told("only", 0, 1, NOW);
+      ServerState recovered = Servers.reporting("only", 0, 1, NOW);
       for (int i = 0; i < 10; i++) {
         recovered.succeeded(20, NOW);
       }
@@ -164,7 +164,7 @@
      */
     @Test
     public void alsoWhereNothingSeemsToBeInTime() {
-      assertTrue(Placement.fits(Servers.told("a", 0, 1, NOW), allowed(3_000, 1_200)));
+      assertTrue(Placement.fits(Servers.reporting("a", 0, 1, NOW), allowed(3_000, 1_200)));
     }
   }
 
@@ -182,13 +182,13 @@
 
     @Test
     public void theNearOneIsTakenWhenBothAreGood() {
-      ServerState near = Servers.told("near", 1, 1, NOW);
+      ServerState near = Servers.reporting("near", 1, 1, NOW);
       assertEquals(outer.best(List.of(remote(1, 1), near), NOW), "near");
     }
 
     @Test
     public void theFarOneIsTakenWhenTheNearOneIsSlow() {
-      ServerState near = Servers.told("near", 1, 4, NOW);
+      ServerState near = Servers.reporting("near", 1, 4, NOW);
       assertEquals(outer.best(List.of(remote(1, 1), near), NOW), "remote");
     }
   }
--- a/front/src/test/java/org/magnoliaswitch/front/load/RateLimitShareTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/RateLimitShareTest.java
@@ -102,7 +102,7 @@
     private static final long CALM_NANOS = TimeUnit.SECONDS.toNanos(60);
 
     /** Each instance holds a bucket of one request that fills at an even part of the limit. */
-    private record Buckets(List<RateLimit> buckets, double perSecond) implements Bursts.Way {
+    private record Buckets(List<RateLimit> buckets, double perSecond) implements Bursts.SendPolicy {
       static Buckets of(int instances, double perSecond) {
         List<RateLimit> buckets = new ArrayList<>();
         for (int i = 0; i < instances; i++) {
@@ -119,7 +119,7 @@
 
     /** Each instance has its share of each span. */
     private record Shares(List<SendWindow> windows, List<RateLimitShare> shares)
-        implements Bursts.Way {
+        implements Bursts.SendPolicy {
       static Shares of(int instances, double perSecond, String server) {
         List<SendWindow> windows = new ArrayList<>();
         List<RateLimitShare> shares = new ArrayList<>();
@@ -142,12 +142,12 @@
       }
     }
 
-    private static List<Long> play(Bursts.Way way, int instances) {
-      return Bursts.play(way, instances, CALM_NANOS, PLAYED_NANOS, STEP_NANOS);
+    private static List<Long> play(Bursts.SendPolicy way, int instances) {
+      return Bursts.simulate(way, instances, CALM_NANOS, PLAYED_NANOS, STEP_NANOS);
     }
 
     private static long mostInASpan(List<Long> sends) {
-      return Bursts.mostInSpan(sends, RateLimitShare.SPAN_NANOS);
+      return Bursts.maxInWindow(sends, RateLimitShare.SPAN_NANOS);
     }
 
     @DataProvider
--- a/front/src/test/java/org/magnoliaswitch/front/load/SelectionTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/SelectionTest.java
@@ -29,7 +29,7 @@
 
   @Test
   public void anUndisturbedServerHeardOfJustNowIsTaken() {
-    ServerState fresh = Servers.told("a", 1, 1, NOW);
+    ServerState fresh = Servers.reporting("a", 1, 1, NOW);
     assertEquals(next(true, fresh), new Selection.Step.Send(fresh));
   }
 
@@ -40,9 +40,9 @@
    */
   @Test
   public void onlyServersWithOldNewsAreAsked() {
-    ServerState slow = Servers.told("a", 1, 4, NOW);
-    ServerState old = Servers.told("b", 1, 1, LONG_AGO);
-    ServerState other = Servers.told("c", 1, 1, LONG_AGO);
+    ServerState slow = Servers.reporting("a", 1, 4, NOW);
+    ServerState old = Servers.reporting("b", 1, 1, LONG_AGO);
+    ServerState other = Servers.reporting("c", 1, 1, LONG_AGO);
     assertEquals(next(true, slow, old, other), new Selection.Step.Ask(List.of(old, other)));
   }
 
@@ -54,7 +54,7 @@
   public void oneServerIsAskedFirstAndMoreOnlyAfterwards() {
     List<Ranked> ranked =
         Stream.of("a", "b", "c", "d")
-            .map(id -> new Ranked(Servers.told(id, 1, 1, LONG_AGO), 0, true))
+            .map(id -> new Ranked(Servers.reporting(id, 1, 1, LONG_AGO), 0, true))
             .toList();
     for (int round = 0; round < 3; round++) {
       Selection.Step step = Selection.next(ranked, CONTEXT, round, true);
@@ -66,7 +66,7 @@
   /** Guards against health checks at a server that asked for fewer requests. */
   @Test
   public void aServerWithALimitIsTakenWithoutAsking() {
-    ServerState limited = Servers.told("a", 1, 1, LONG_AGO);
+    ServerState limited = Servers.reporting("a", 1, 1, LONG_AGO);
     ServerNotice notice = new ServerNotice(false, OptionalDouble.of(4.6), 0);
     limited.backpressure().answered(notice, LONG_AGO, LONG_AGO);
     assertEquals(next(true, limited), new Selection.Step.Send(limited));
@@ -74,7 +74,7 @@
 
   @Test
   public void aSlowServerIsTakenWhenAllHaveJustSaidSo() {
-    ServerState slow = Servers.told("a", 1, 4, NOW);
+    ServerState slow = Servers.reporting("a", 1, 4, NOW);
     assertEquals(next(true, slow), new Selection.Step.Send(slow));
   }
 
@@ -85,14 +85,14 @@
    */
   @Test
   public void aRequestDoesNotStartWhereItsAnswerWouldBeLate() {
-    ServerState slow = Servers.told("a", 1, 5, NOW);
+    ServerState slow = Servers.reporting("a", 1, 5, NOW);
     Selection.Step step = Selection.next(List.of(new Ranked(slow, 0, false)), CONTEXT, 0, false);
     assertTrue(step instanceof Selection.Step.Full);
   }
 
   @Test
   public void afterTheLastRoundNobodyIsAsked() {
-    ServerState old = Servers.told("b", 1, 1, LONG_AGO);
+    ServerState old = Servers.reporting("b", 1, 1, LONG_AGO);
     assertEquals(next(false, old), new Selection.Step.Send(old));
   }
 
@@ -103,8 +103,8 @@
    */
   @Test
   public void aServerThatWasNotAskedIsNotTakenWhenThoseAskedAreFull() {
-    ServerState full = Servers.told("a", 6, 1, NOW);
-    ServerState old = Servers.told("b", 0, 1, LONG_AGO);
+    ServerState full = Servers.reporting("a", 6, 1, NOW);
+    ServerState old = Servers.reporting("b", 0, 1, LONG_AGO);
     List<Ranked> ranked = List.of(new Ranked(full, 0, true), new Ranked(old, 1, true));
     assertTrue(Selection.next(ranked, CONTEXT, LAST_ROUND, true) instanceof Selection.Step.Full);
   }
@@ -112,14 +112,14 @@
   /** No server answered in time: a guess is better than refusing everybody. */
   @Test
   public void withoutAnyAnswerTheBestGuessIsTaken() {
-    ServerState old = Servers.told("b", 0, 1, LONG_AGO);
+    ServerState old = Servers.reporting("b", 0, 1, LONG_AGO);
     List<Ranked> ranked = List.of(new Ranked(old, 1, true));
     assertEquals(Selection.next(ranked, CONTEXT, LAST_ROUND, true), new Selection.Step.Send(old));
   }
 
   @Test
   public void busyServersAndNoServersAreToldApart() {
-    ServerState busy = Servers.told("a", 6, 1, NOW);
+    ServerState busy = Servers.reporting("a", 6, 1, NOW);
     assertTrue(next(true, busy) instanceof Selection.Step.Full);
     assertTrue(next(true) instanceof Selection.Step.None);
   }
--- a/front/src/test/java/org/magnoliaswitch/front/logging/LineEncoderTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/logging/LogLineEncoderTest.java
@@ -12,12 +12,12 @@
 import org.testng.annotations.Test;
 
 /** The form of log lines. */
-public final class LineEncoderTest {
+public final class LogLineEncoderTest {
   private static String line(String message, @Nullable Throwable cause) {
     Logger logger = new LoggerContext().getLogger("x");
     LoggingEvent event = new LoggingEvent("x", logger, Level.INFO, message, cause, null);
     event.setTimeStamp(0);
-    return new String(new LineEncoder().encode(event), StandardCharsets.UTF_8);
+    return new String(new LogLineEncoder().encode(event), StandardCharsets.UTF_8);
   }
 
   @Test
--- a/front/src/test/java/org/magnoliaswitch/front/peer/PeerUpdateCodecTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/PeerUpdateCodecTest.java
@@ -15,7 +15,7 @@
 import org.magnoliaswitch.core.crash.RequestIdentity;
 import org.magnoliaswitch.core.peer.CrashReportCodec;
 import org.magnoliaswitch.front.load.InstancePlace;
-import org.magnoliaswitch.front.testing.DamagedBytes;
+import org.magnoliaswitch.front.testing.CorruptedMessages;
 import org.magnoliaswitch.front.testing.Servers;
 import org.magnoliaswitch.front.version.CallerLimits;
 import org.magnoliaswitch.front.version.Evacuations;
@@ -111,14 +111,14 @@
   @Test
   public void damagedReportsAreRefusedOrRead() {
     byte[] good = CrashReportCodec.encode(REPORTS);
-    DamagedBytes.areReadOrRefused(good, 6, CrashReportCodec::decode);
+    CorruptedMessages.assertDecodedOrRejected(good, 6, CrashReportCodec::decode);
   }
 
   /** A peer of another release, or a stranger, sends anything; the reader must only refuse it. */
   @Test
   public void damagedMessagesAreRefusedOrReadButNeverThrowAnythingElse() {
     byte[] good = PeerUpdateCodec.encode(NEWS);
-    DamagedBytes.areReadOrRefused(good, 5, PeerUpdateCodec::decode);
+    CorruptedMessages.assertDecodedOrRejected(good, 5, PeerUpdateCodec::decode);
   }
 
   @Test
--- a/front/src/test/java/org/magnoliaswitch/front/peer/RouteUpdateCodecTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/RouteUpdateCodecTest.java
@@ -13,7 +13,7 @@
 import org.magnoliaswitch.core.crash.RequestIdentity;
 import org.magnoliaswitch.core.peer.CrashReportCodec;
 import org.magnoliaswitch.front.load.InstancePlace;
-import org.magnoliaswitch.front.testing.DamagedBytes;
+import org.magnoliaswitch.front.testing.CorruptedMessages;
 import org.magnoliaswitch.front.version.CallerLimits;
 import org.magnoliaswitch.front.version.Evacuations;
 import org.magnoliaswitch.front.version.Route;
@@ -96,7 +96,7 @@
     }
     RouteTable table = new RouteTable(9, routes, SERVICES, CallerLimits.DEFAULT);
     byte[] good = PeerUpdateCodec.encode(news(new RouteUpdate.Whole(table)));
-    DamagedBytes.areReadOrRefused(good, 8, PeerUpdateCodec::decode);
+    CorruptedMessages.assertDecodedOrRejected(good, 8, PeerUpdateCodec::decode);
   }
 
   /** What a listener tells. */
@@ -131,7 +131,7 @@
     @Test
     public void damagedNewsAreRefusedOrRead() {
       byte[] good = ListenerUpdateCodec.encode(NEWS);
-      DamagedBytes.areReadOrRefused(good, 9, ListenerUpdateCodec::decode);
+      CorruptedMessages.assertDecodedOrRejected(good, 9, ListenerUpdateCodec::decode);
     }
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/process/ColdSendsTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ColdSendsTest.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
 import org.magnoliaswitch.front.load.ServerState;
-import org.magnoliaswitch.front.testing.PausedClock;
+import org.magnoliaswitch.front.testing.ManualClock;
 import org.magnoliaswitch.front.testing.Servers;
 import org.magnoliaswitch.front.testing.TestEnvironment;
 import org.magnoliaswitch.front.version.CallerLimits;
@@ -27,7 +27,7 @@
   /** Of an instance that shares with one other. */
   private static final int SHARE = 3;
 
-  private PausedClock time;
+  private ManualClock time;
   private InstanceCount instances;
   private ColdSends coldSends;
   private ServerState server;
@@ -35,7 +35,7 @@
   /** A server that bears six requests a second while it is cold, and two instances. */
   @BeforeMethod
   public void start() {
-    time = new PausedClock();
+    time = new ManualClock();
     instances = new InstanceCount(2, time.clocks());
     coldSends = sends(new Warmup(SPAN, 2 * SHARE));
     server = new ServerState(Servers.entry("a", false), time.read());
--- a/front/src/test/java/org/magnoliaswitch/front/process/CrashArchiveTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/CrashArchiveTest.java
@@ -26,7 +26,7 @@
 public final class CrashArchiveTest {
   private static final RequestIdentity REQUEST = new RequestIdentity(1, 2);
 
-  private Environment environment = TestEnvironment.unknowing();
+  private Environment environment = TestEnvironment.withoutConfiguration();
   private Store store = new Store();
   private CrashArchive archive = archive();
 
@@ -66,7 +66,7 @@
   @BeforeMethod
   public void forget() {
     environment.loop().stop();
-    environment = TestEnvironment.unknowing();
+    environment = TestEnvironment.withoutConfiguration();
     store = new Store();
     archive = archive();
   }
--- a/front/src/test/java/org/magnoliaswitch/front/process/SendQuotasTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/SendQuotasTest.java
@@ -10,7 +10,7 @@
 import org.magnoliaswitch.front.load.InstancePlace;
 import org.magnoliaswitch.front.load.ServerNotice;
 import org.magnoliaswitch.front.load.ServerState;
-import org.magnoliaswitch.front.testing.PausedClock;
+import org.magnoliaswitch.front.testing.ManualClock;
 import org.magnoliaswitch.front.testing.Servers;
 import org.magnoliaswitch.front.testing.TestEnvironment;
 import org.magnoliaswitch.front.version.RouteTable;
@@ -25,7 +25,7 @@
   /** Longer than an instance needs to find the others. */
   private static final long SETTLED = 10 * SECOND;
 
-  private PausedClock time;
+  private ManualClock time;
   private InstanceCount instances;
   private SendQuotas quotas;
   private ServerState server;
@@ -33,7 +33,7 @@
   /** Two instances, both of which send to all servers. */
   @BeforeMethod
   public void start() {
-    time = new PausedClock();
+    time = new ManualClock();
     instances = new InstanceCount(2, time.clocks());
     FrontSettings settings = TestEnvironment.settings();
     AtomicReference<RouteTable> routes = new AtomicReference<>(RouteTable.EMPTY);
--- a/front/src/test/java/org/magnoliaswitch/front/process/ServerDirectoryTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ServerDirectoryTest.java
@@ -19,7 +19,7 @@
 import org.magnoliaswitch.front.load.ServerNotice;
 import org.magnoliaswitch.front.load.ServerState;
 import org.magnoliaswitch.front.loop.Loop;
-import org.magnoliaswitch.front.testing.PausedClock;
+import org.magnoliaswitch.front.testing.ManualClock;
 import org.magnoliaswitch.front.testing.Servers;
 import org.magnoliaswitch.front.testing.TestEnvironment;
 import org.magnoliaswitch.front.testing.TestHeaders;
@@ -107,7 +107,7 @@
    */
   @Test
   public void rightAfterTheStartNoServerOfASmallServiceIsLeftOut() {
-    ServerDirectory directory = directory(new PausedClock().clocks(), Warmup.UNLIMITED);
+    ServerDirectory directory = directory(new ManualClock().clocks(), Warmup.UNLIMITED);
     ServerEntry[] entries = new ServerEntry[14];
     for (int i = 0; i < entries.length; i++) {
       entries[i] = Servers.entry("s" + i, false);
@@ -123,7 +123,7 @@
 
     private static final int INSTANCES = 100;
 
-    private PausedClock time = new PausedClock();
+    private ManualClock time = new ManualClock();
     private ServerDirectory directory = directory();
 
     private List<ServerState> used() {
@@ -132,7 +132,7 @@
 
     @BeforeMethod
     public void start() {
-      time = new PausedClock();
+      time = new ManualClock();
       directory = directory(time.clocks(), Warmup.UNLIMITED, INSTANCES);
       time.advance(10 * SECOND);
       ServerEntry[] entries = new ServerEntry[SERVERS];
@@ -243,7 +243,7 @@
      */
     @Test
     public void takenBackItsServersCountAsColdUntilTheySayOtherwise() {
-      PausedClock time = new PausedClock();
+      ManualClock time = new ManualClock();
       Clocks clocks = time.clocks();
       ServerDirectory directory = directory(clocks, new Warmup(SPAN_NANOS, 2));
       apply(directory, 1, Servers.entry("a", false), Servers.entry("b", false));
--- a/front/src/test/java/org/magnoliaswitch/front/process/ServerNoticesTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ServerNoticesTest.java
@@ -28,7 +28,7 @@
 
   @BeforeMethod
   public void start() throws InterruptedException {
-    environment = TestEnvironment.unknowing();
+    environment = TestEnvironment.withoutConfiguration();
     onLoop(
         () ->
             environment.servers().apply(new ServerList(1, Map.of("a", Servers.entry("a", false)))));
--- a/front/src/test/java/org/magnoliaswitch/front/process/ShareCacheTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ShareCacheTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 
 import org.magnoliaswitch.front.load.InstancePlace;
-import org.magnoliaswitch.front.testing.PausedClock;
+import org.magnoliaswitch.front.testing.ManualClock;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
@@ -16,7 +16,7 @@
   @BeforeMethod
   public void start() {
     workedOut = 0;
-    instances = new InstanceCount(2, new PausedClock().clocks());
+    instances = new InstanceCount(2, new ManualClock().clocks());
     shares = new ShareCache<>(instances, key -> ++workedOut);
   }
 
--- a/front/src/test/java/org/magnoliaswitch/front/request/CrashingRequestTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/CrashingRequestTest.java
@@ -17,8 +17,8 @@
 import org.magnoliaswitch.core.crash.CrashReport;
 import org.magnoliaswitch.core.crash.RequestIdentity;
 import org.magnoliaswitch.core.process.CrashWatch;
-import org.magnoliaswitch.front.connection.CallerAnswer;
 import org.magnoliaswitch.front.connection.CallerRequest;
+import org.magnoliaswitch.front.connection.CallerResponse;
 import org.magnoliaswitch.front.connection.RequestHandler;
 import org.magnoliaswitch.front.process.Environment;
 import org.magnoliaswitch.front.testing.RunningFront;
@@ -201,9 +201,9 @@
       }
     }
 
-    private static CompletableFuture<CallerAnswer> ask(
+    private static CompletableFuture<CallerResponse> ask(
         Environment environment, RequestHandler handler) {
-      CompletableFuture<CallerAnswer> answer = new CompletableFuture<>();
+      CompletableFuture<CallerResponse> answer = new CompletableFuture<>();
       CallerRequest request = request(environment.clocks().nanos());
       environment.loop().execute(() -> handler.start(request, answer::complete));
       return answer;
@@ -219,7 +219,8 @@
       Holding holding = new Holding();
       try (ScriptedServer server = new ScriptedServer("a", holding::run)) {
         Environment environment = TestEnvironment.with(READ, server);
-        CompletableFuture<CallerAnswer> answer = ask(environment, new FrontDispatcher(environment));
+        CompletableFuture<CallerResponse> answer =
+            ask(environment, new FrontDispatcher(environment));
         holding.arrived.acquire();
         environment.crashes().heard(TWO_ENDS, CrashWatch.Source.PEER);
         holding.released.countDown();
@@ -238,7 +239,8 @@
       Holding holding = new Holding();
       try (ScriptedServer server = new ScriptedServer("a", holding::run)) {
         Environment environment = TestEnvironment.with(READ, server);
-        CompletableFuture<CallerAnswer> answer = ask(environment, new FrontDispatcher(environment));
+        CompletableFuture<CallerResponse> answer =
+            ask(environment, new FrontDispatcher(environment));
         holding.arrived.acquire();
         List<CrashReport> twoEnds =
             List.of(
@@ -257,7 +259,8 @@
       Holding holding = new Holding();
       try (ScriptedServer server = new ScriptedServer("a", holding::run)) {
         Environment environment = TestEnvironment.with(ONCE, server);
-        CompletableFuture<CallerAnswer> answer = ask(environment, new FrontDispatcher(environment));
+        CompletableFuture<CallerResponse> answer =
+            ask(environment, new FrontDispatcher(environment));
         holding.arrived.acquire();
         environment.crashes().heard(TWO_ENDS, CrashWatch.Source.PEER);
         environment.crashes().heard(TRIAL_ENDED, CrashWatch.Source.PEER);
@@ -280,9 +283,9 @@
         Environment environment = TestEnvironment.with(READ, a, b);
         environment.crashes().heard(TWO_ENDS, CrashWatch.Source.PEER);
         FrontDispatcher handler = new FrontDispatcher(environment);
-        CompletableFuture<CallerAnswer> first = ask(environment, handler);
+        CompletableFuture<CallerResponse> first = ask(environment, handler);
         holding.arrived.acquire();
-        CompletableFuture<CallerAnswer> second = ask(environment, handler);
+        CompletableFuture<CallerResponse> second = ask(environment, handler);
         holding.released.countDown();
         assertEquals(first.join().status().code(), 200);
         assertEquals(second.join().status().code(), 200);
@@ -302,7 +305,8 @@
         environment
             .crashes()
             .heard(List.of(new CrashReport.Tried(IDENTITY, 1)), CrashWatch.Source.PEER);
-        CompletableFuture<CallerAnswer> answer = ask(environment, new FrontDispatcher(environment));
+        CompletableFuture<CallerResponse> answer =
+            ask(environment, new FrontDispatcher(environment));
         environment.crashes().heard(TRIAL_ENDED, CrashWatch.Source.PEER);
         assertEquals(answer.join().status().code(), 503);
         assertTrue(Double.parseDouble(answer.join().headers().get("retry-after")) > 3_000);
--- a/front/src/test/java/org/magnoliaswitch/front/request/EvacuationTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/EvacuationTest.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import org.magnoliaswitch.front.connection.CallerAnswer;
+import org.magnoliaswitch.front.connection.CallerResponse;
 import org.magnoliaswitch.front.process.Environment;
 import org.magnoliaswitch.front.testing.Requests;
 import org.magnoliaswitch.front.testing.ScriptedServer;
@@ -57,7 +57,7 @@
         };
     try (ScriptedServer server = new ScriptedServer("a", held)) {
       Environment environment = TestEnvironment.with(ONCE, server);
-      CompletableFuture<CallerAnswer> answer = Requests.ask(environment);
+      CompletableFuture<CallerResponse> answer = Requests.ask(environment);
       server.awaitFirst();
       evacuate(environment, 1, "here");
       released.countDown();
@@ -76,7 +76,7 @@
       Environment environment = TestEnvironment.with(READ, server);
       assertEquals(Requests.ask(environment).join().status().code(), 200);
       evacuate(environment, 1, "here");
-      CallerAnswer refusal = Requests.ask(environment).join();
+      CallerResponse refusal = Requests.ask(environment).join();
       assertEquals(refusal.status().code(), 503);
       assertTrue(refusal.headers().contains("Retry-After"));
       assertEquals(server.received().size(), 1);
@@ -103,7 +103,7 @@
     try (ScriptedServer first = new ScriptedServer("a", rejects);
         ScriptedServer second = new ScriptedServer("b", rejects)) {
       Environment environment = TestEnvironment.with(READ, first, second);
-      CompletableFuture<CallerAnswer> answer = Requests.ask(environment);
+      CompletableFuture<CallerResponse> answer = Requests.ask(environment);
       while (first.received().size() + second.received().size() == 0) {
         Thread.onSpinWait();
       }
--- a/front/src/test/java/org/magnoliaswitch/front/request/FirstConfigurationTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/FirstConfigurationTest.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.magnoliaswitch.front.connection.CallerAnswer;
 import org.magnoliaswitch.front.connection.CallerRequest;
+import org.magnoliaswitch.front.connection.CallerResponse;
 import org.magnoliaswitch.front.process.Environment;
 import org.magnoliaswitch.front.testing.ScriptedServer;
 import org.magnoliaswitch.front.testing.TestEnvironment;
@@ -36,8 +36,8 @@
         "127.0.0.1");
   }
 
-  private static BlockingQueue<CallerAnswer> start(Environment environment) {
-    BlockingQueue<CallerAnswer> answers = new ArrayBlockingQueue<>(1);
+  private static BlockingQueue<CallerResponse> start(Environment environment) {
+    BlockingQueue<CallerResponse> answers = new ArrayBlockingQueue<>(1);
     FrontDispatcher dispatcher = new FrontDispatcher(environment);
     environment.loop().execute(() -> dispatcher.start(request(environment), answers::add));
     return answers;
@@ -51,9 +51,9 @@
   @Test
   public void aRequestWaitsForTheFirstConfiguration() throws IOException, InterruptedException {
     try (ScriptedServer server = new ScriptedServer("a", r -> r.answer(200, "x"))) {
-      Environment environment = TestEnvironment.unknowing();
-      BlockingQueue<CallerAnswer> answers = start(environment);
-      environment.loop().execute(() -> TestEnvironment.know(environment, ROUTE, server));
+      Environment environment = TestEnvironment.withoutConfiguration();
+      BlockingQueue<CallerResponse> answers = start(environment);
+      environment.loop().execute(() -> TestEnvironment.configure(environment, ROUTE, server));
       assertEquals(answers.take().status().code(), 200);
       environment.loop().stop();
     }
@@ -62,8 +62,8 @@
   /** Without any configuration the caller is told soon that its request has not run. */
   @Test
   public void aRequestIsRefusedWhenNoConfigurationComes() throws InterruptedException {
-    Environment environment = TestEnvironment.unknowing();
-    CallerAnswer answer = start(environment).take();
+    Environment environment = TestEnvironment.withoutConfiguration();
+    CallerResponse answer = start(environment).take();
     assertEquals(answer.status().code(), 503);
     assertFalse(answer.headers().get("Retry-After").isEmpty());
     environment.loop().stop();
@@ -76,7 +76,7 @@
    */
   @Test
   public void nothingRunsBesideOthersBeforeTheFirstConfiguration() {
-    Environment environment = TestEnvironment.unknowing();
+    Environment environment = TestEnvironment.withoutConfiguration();
     assertFalse(new FrontDispatcher(environment).idempotent(request(environment)));
     environment.loop().stop();
   }
--- a/front/src/test/java/org/magnoliaswitch/front/request/LimitedServerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/LimitedServerTest.java
@@ -60,7 +60,7 @@
         String answer = fronts.get(i % INSTANCES).ask("GET", "/safe/" + i, 10_000);
         assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
       }
-      long most = Bursts.mostInSpan(arrivals, SPAN_NANOS);
+      long most = Bursts.maxInWindow(arrivals, SPAN_NANOS);
       assertTrue(most <= MOST_IN_SPAN, most + " in a span");
       fronts.forEach(front -> front.stop(() -> {}));
     }
--- a/front/src/test/java/org/magnoliaswitch/front/request/NoticeHeadersTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/NoticeHeadersTest.java
@@ -20,7 +20,7 @@
   private static ServerNotice read(int status, HttpHeaders headers) {
     HttpResponseStatus answered = HttpResponseStatus.valueOf(status);
     return NoticeHeaders.read(
-        new ServerReply.Whole(answered, headers, new byte[0]), TestHeaders.NAMES);
+        new ServerReply.Complete(answered, headers, new byte[0]), TestHeaders.NAMES);
   }
 
   private static ServerNotice with(int status, String name, String value) {
--- a/front/src/test/java/org/magnoliaswitch/front/request/OverdueReadTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/OverdueReadTest.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.magnoliaswitch.front.connection.CallerAnswer;
 import org.magnoliaswitch.front.connection.CallerRequest;
+import org.magnoliaswitch.front.connection.CallerResponse;
 import org.magnoliaswitch.front.load.Mechanisms;
 import org.magnoliaswitch.front.load.PendingQueue;
 import org.magnoliaswitch.front.load.ServerState;
@@ -78,7 +78,7 @@
    */
   @Test
   public void aSecondServerIsSoughtUntilThereIsRoom() throws IOException, InterruptedException {
-    BlockingQueue<CallerAnswer> answers = new ArrayBlockingQueue<>(1);
+    BlockingQueue<CallerResponse> answers = new ArrayBlockingQueue<>(1);
     try (ScriptedServer hung =
             new ScriptedServer(
                 "a",
@@ -110,7 +110,7 @@
   @Test
   public void aFailureIsPassedOnWhenNoSecondServerHasRoom()
       throws IOException, InterruptedException {
-    BlockingQueue<CallerAnswer> answers = new ArrayBlockingQueue<>(1);
+    BlockingQueue<CallerResponse> answers = new ArrayBlockingQueue<>(1);
     try (ScriptedServer failing = new ScriptedServer("a", r -> r.answer(500, "reason"))) {
       Environment environment = TestEnvironment.with(SHORT_ROUTE, failing);
       ServerState server = state(environment, "a");
@@ -124,7 +124,7 @@
               request(environment),
               answers::add);
       environment.loop().execute(() -> exchange.start(() -> Optional.of(SHORT_ROUTE)));
-      CallerAnswer answer = answers.take();
+      CallerResponse answer = answers.take();
       assertEquals(answer.status().code(), 500);
       assertEquals(new String(answer.body(), StandardCharsets.US_ASCII), "reason");
       environment.loop().stop();
--- a/front/src/test/java/org/magnoliaswitch/front/request/PausedServerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/PausedServerTest.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.magnoliaswitch.front.connection.CallerAnswer;
+import org.magnoliaswitch.front.connection.CallerResponse;
 import org.magnoliaswitch.front.load.ServerNotice;
 import org.magnoliaswitch.front.load.ServerState;
 import org.magnoliaswitch.front.process.Environment;
@@ -64,7 +64,7 @@
     try (ScriptedServer shedding = new ScriptedServer("a", PausedServerTest::shedding)) {
       Environment environment = TestEnvironment.with(ONCE, shedding);
       for (int i = 0; i < REQUESTS; i++) {
-        CallerAnswer answer = Requests.ask(environment).join();
+        CallerResponse answer = Requests.ask(environment).join();
         assertEquals(answer.status().code(), 503);
         assertTrue(answer.headers().contains("Retry-After"));
       }
@@ -90,7 +90,7 @@
       environment
           .routes()
           .set(new RouteTable(2, List.of(ONCE), List.of(askable), CallerLimits.DEFAULT));
-      CompletableFuture<CallerAnswer> answer = Requests.ask(environment);
+      CompletableFuture<CallerResponse> answer = Requests.ask(environment);
       environment.loop().execute(() -> pause(environment));
       assertEquals(answer.join().status().code(), 503);
       assertEquals(checks.get(), 0);
--- a/front/src/test/java/org/magnoliaswitch/front/request/RestartedServerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/RestartedServerTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
-import org.magnoliaswitch.front.connection.CallerAnswer;
+import org.magnoliaswitch.front.connection.CallerResponse;
 import org.magnoliaswitch.front.load.ServerState;
 import org.magnoliaswitch.front.process.Environment;
 import org.magnoliaswitch.front.testing.Requests;
@@ -66,7 +66,7 @@
     try (ScriptedServer old = new ScriptedServer("a", crash);
         ScriptedServer next = new ScriptedServer("a", WELL)) {
       Environment environment = TestEnvironment.with(ONCE, old);
-      CompletableFuture<CallerAnswer> answer = Requests.ask(environment);
+      CompletableFuture<CallerResponse> answer = Requests.ask(environment);
       old.awaitFirst();
       restart(environment, next);
       released.countDown();
@@ -94,7 +94,7 @@
         ScriptedServer next = new ScriptedServer("a", WELL)) {
       Environment environment = TestEnvironment.with(READ, old);
       ServerState before = state(environment);
-      CompletableFuture<CallerAnswer> answer = Requests.ask(environment);
+      CompletableFuture<CallerResponse> answer = Requests.ask(environment);
       old.awaitFirst();
       restart(environment, next);
       released.countDown();
--- a/front/src/test/java/org/magnoliaswitch/front/request/WaitingRequestTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/WaitingRequestTest.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.magnoliaswitch.front.connection.CallerAnswer;
 import org.magnoliaswitch.front.connection.CallerRequest;
+import org.magnoliaswitch.front.connection.CallerResponse;
 import org.magnoliaswitch.front.load.Mechanisms;
 import org.magnoliaswitch.front.load.PendingQueue;
 import org.magnoliaswitch.front.load.ServerState;
@@ -75,7 +75,7 @@
               environment.clocks().nanos(),
               false,
               "127.0.0.1");
-      Consumer<CallerAnswer> answer = given -> answered.countDown();
+      Consumer<CallerResponse> answer = given -> answered.countDown();
       PendingQueue<Placing> pending = new PendingQueue<>(Mechanisms.ALL);
       Exchange exchange = new Exchange(environment, finder, pending, request, answer);
       environment
--- a/front/src/test/java/org/magnoliaswitch/front/testing/Bursts.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/Bursts.java
@@ -7,7 +7,7 @@
 public final class Bursts {
   /** Decides whether an instance may send now, and counts the send if it may. */
   @FunctionalInterface
-  public interface Way {
+  public interface SendPolicy {
     /** Whether an instance sends at a moment. */
     boolean send(int instance, long nowNanos);
   }
@@ -15,12 +15,12 @@
   private Bursts() {}
 
   /** Times at which instances send, with a moment every step. */
-  public static List<Long> play(
-      Way way, int instances, long fromNanos, long spanNanos, long stepNanos) {
+  public static List<Long> simulate(
+      SendPolicy policy, int instances, long fromNanos, long spanNanos, long stepNanos) {
     List<Long> sends = new ArrayList<>();
     for (long now = fromNanos; now < fromNanos + spanNanos; now += stepNanos) {
       for (int instance = 0; instance < instances; instance++) {
-        if (way.send(instance, now)) {
+        if (policy.send(instance, now)) {
           sends.add(now);
         }
       }
@@ -29,7 +29,7 @@
   }
 
   /** The most sends in any span. */
-  public static long mostInSpan(List<Long> sends, long spanNanos) {
+  public static long maxInWindow(List<Long> sends, long spanNanos) {
     long most = 0;
     for (long first : sends) {
       long end = first + spanNanos;
--- a/front/src/test/java/org/magnoliaswitch/front/testing/DamagedBytes.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/CorruptedMessages.java
@@ -7,7 +7,7 @@
 import java.util.Random;
 
 /** Messages that are cut short and have a wrong byte. */
-public final class DamagedBytes {
+public final class CorruptedMessages {
   private static final int COUNT = 5_000;
 
   /** Reads a message. */
@@ -17,10 +17,10 @@
     void decode(byte[] bytes) throws IOException;
   }
 
-  private DamagedBytes() {}
+  private CorruptedMessages() {}
 
   /** Checks that a decoder reads or refuses whatever becomes of a message. */
-  public static void areReadOrRefused(byte[] good, long seed, Decoder decoder) {
+  public static void assertDecodedOrRejected(byte[] good, long seed, Decoder decoder) {
     Random random = new Random(seed);
     for (int i = 0; i < COUNT; i++) {
       byte[] bad = Arrays.copyOf(good, 1 + random.nextInt(good.length));
--- a/front/src/test/java/org/magnoliaswitch/front/testing/PausedClock.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/ManualClock.java
@@ -5,7 +5,7 @@
 import org.magnoliaswitch.core.clock.Clocks;
 
 /** Monotonic time that stands still until a test advances it. */
-public final class PausedClock extends Ticker {
+public final class ManualClock extends Ticker {
   private long nanos;
 
   @Override
--- a/front/src/test/java/org/magnoliaswitch/front/testing/Requests.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/Requests.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.magnoliaswitch.front.connection.CallerAnswer;
 import org.magnoliaswitch.front.connection.CallerRequest;
+import org.magnoliaswitch.front.connection.CallerResponse;
 import org.magnoliaswitch.front.process.Environment;
 import org.magnoliaswitch.front.request.FrontDispatcher;
 import org.magnoliaswitch.front.version.Route;
@@ -25,8 +25,8 @@
   }
 
   /** Brings a request; the answer comes when it is final. */
-  public static CompletableFuture<CallerAnswer> ask(Environment environment) {
-    CompletableFuture<CallerAnswer> answer = new CompletableFuture<>();
+  public static CompletableFuture<CallerResponse> ask(Environment environment) {
+    CompletableFuture<CallerResponse> answer = new CompletableFuture<>();
     CallerRequest request =
         new CallerRequest(
             HttpMethod.POST,
--- a/front/src/test/java/org/magnoliaswitch/front/testing/Servers.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/Servers.java
@@ -51,7 +51,7 @@
   }
 
   /** A server that has told its load just now. */
-  public static ServerState told(String id, int running, double slowness, long nowNanos) {
+  public static ServerState reporting(String id, int running, double slowness, long nowNanos) {
     ServerState state = new ServerState(entry(id, false), nowNanos);
     state.sampled(new LoadSample(running, 0, SLOTS, slowness), 0, nowNanos);
     state.idleConnections(1);
--- a/front/src/test/java/org/magnoliaswitch/front/testing/TestEnvironment.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/TestEnvironment.java
@@ -38,13 +38,13 @@
 
   /** One that knows a route and a server. */
   public static Environment with(Route route, ScriptedServer... servers) {
-    Environment environment = unknowing();
-    know(environment, route, servers);
+    Environment environment = withoutConfiguration();
+    configure(environment, route, servers);
     return environment;
   }
 
   /** One that has no configuration yet. */
-  public static Environment unknowing() {
+  public static Environment withoutConfiguration() {
     Clocks clocks = Clocks.system();
     EventLog log = new EventLog(clocks);
     FrontMetrics metrics = new FrontMetrics();
@@ -106,7 +106,7 @@
   }
 
   /** Puts a configuration with one route and a list with one server in force. */
-  public static void know(Environment environment, Route route, ScriptedServer... servers) {
+  public static void configure(Environment environment, Route route, ScriptedServer... servers) {
     environment.routes().set(new RouteTable(1, List.of(route), List.of(), CallerLimits.DEFAULT));
     environment.routesFreshness().confirmed(environment.clocks().nanos());
     Map<String, ServerEntry> entries = new HashMap<>();
