--- a/front/src/main/java/org/magnoliaswitch/front/request/CrashGuard.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/CrashGuard.java
@@ -44,7 +44,7 @@
     pool.findWhetherEnded(
         ended -> {
           if (ended) {
-            environment.servers().unreachable(pool.state());
+            environment.servers().recordUnreachable(pool.state());
             tell(server, warned);
           }
           crashes.lookedAt(server, ended, warned);
@@ -54,7 +54,7 @@
   private void tell(String server, boolean warned) {
     environment
         .log()
-        .trouble("server_ended")
+        .failure("server_ended")
         .add("server", server)
         .add("request", requestId)
         .add("identity", crashes.identities().content().toString())
