--- a/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
@@ -116,7 +116,7 @@
             OUTRUN_MILLIS,
             () -> {
               if (!ended) {
-                environment.servers().failed(pool.state(), "never_answered");
+                environment.servers().recordFailure(pool.state(), "never_answered");
                 abandon();
               }
             });
@@ -128,7 +128,7 @@
       abandon();
       return;
     }
-    environment.servers().failed(pool.state(), "timeout");
+    environment.servers().recordFailure(pool.state(), "timeout");
     if (idempotent) {
       abandon();
     } else {
@@ -151,7 +151,7 @@
   private void connectFailed(Throwable cause) {
     if (!ended) {
       end();
-      environment.servers().unreachable(pool.state());
+      environment.servers().recordUnreachable(pool.state());
       exchange.unreachable(this, cause.getClass().getSimpleName());
     }
   }
@@ -199,7 +199,7 @@
     }
     environment
         .log()
-        .routine("send")
+        .success("send")
         .add("request", requestId)
         .add("server", serverId())
         .add("left_ms", leftMillis)
@@ -225,7 +225,7 @@
     switch (reply) {
       case ServerReply.Complete whole -> whole(whole);
       case ServerReply.Broken broken -> {
-        environment.servers().failed(pool.state(), "broken");
+        environment.servers().recordFailure(pool.state(), "broken");
         exchange.guard().broke(pool, warned);
         exchange.broken(this, broken.reason());
       }
@@ -237,11 +237,11 @@
     int status = whole.status().code();
     if (status == HttpResponseStatus.MISDIRECTED_REQUEST.code()) {
       pool.state().markGone();
-      environment.log().belief("server_replaced").add("server", serverId()).write();
+      environment.log().stateChange("server_replaced").add("server", serverId()).write();
       exchange.rejected(this, status);
     } else if (whole.headers().contains(environment.names().notExecuted())) {
-      environment.notices().heard(pool.state(), notice(whole));
-      environment.servers().failed(pool.state(), "rejected");
+      environment.notices().received(pool.state(), notice(whole));
+      environment.servers().recordFailure(pool.state(), "rejected");
       exchange.rejected(this, status);
     } else {
       environment.notices().answered(pool.state(), notice(whole), sentNanos);
@@ -257,7 +257,7 @@
 
   private void judge(int status) {
     if (status >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code()) {
-      environment.servers().failed(pool.state(), "error");
+      environment.servers().recordFailure(pool.state(), "error");
       return;
     }
     exchange.learnLatency(environment.clocks().nanos() - sentNanos, slownessAtStart, pool.state());
--- a/front/src/main/java/org/magnoliaswitch/front/request/Probes.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Probes.java
@@ -79,7 +79,7 @@
         ProbeShare.perSecond(
             environment.settings().probesPerServer(),
             environment.instances().count(),
-            environment.servers().part(pool.state().entry().service()));
+            environment.servers().subsetShare(pool.state().entry().service()));
     return limits
         .computeIfAbsent(pool.state(), server -> new RateLimit(BURST, now))
         .take(perSecond, now);
@@ -112,7 +112,7 @@
     }
 
     private void unreachable(ServerPool pool) {
-      environment.servers().unreachable(pool.state());
+      environment.servers().recordUnreachable(pool.state());
       answered();
     }
 
@@ -192,8 +192,8 @@
         ended = true;
         environment.metrics().count("probes", service(), "silent");
         connection.abandon();
-        environment.servers().failed(pool.state(), "probe_silent");
-        environment.log().trouble("probe_silent").add("server", pool.state().entry().id()).write();
+        environment.servers().recordFailure(pool.state(), "probe_silent");
+        environment.log().failure("probe_silent").add("server", pool.state().entry().id()).write();
         round.answered();
       }
     }
@@ -216,13 +216,13 @@
         pool.state().markGone();
         environment
             .log()
-            .belief("server_replaced")
+            .stateChange("server_replaced")
             .add("server", pool.state().entry().id())
             .add("found", id)
             .write();
         return;
       }
-      environment.notices().heard(pool.state(), NoticeHeaders.read(whole, environment.names()));
+      environment.notices().received(pool.state(), NoticeHeaders.read(whole, environment.names()));
       learnWarmup(whole.headers().get(environment.names().warmupLeft()));
       String load = whole.headers().get(environment.names().load());
       if (load == null) {
