--- a/front/src/main/java/org/magnoliaswitch/front/process/StateSync.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StateSync.java
@@ -11,11 +11,11 @@
 import org.magnoliaswitch.core.process.CrashWatch;
 import org.magnoliaswitch.front.load.InstancePlace;
 import org.magnoliaswitch.front.loop.Loop;
-import org.magnoliaswitch.front.peer.ConfigurationNews;
+import org.magnoliaswitch.front.peer.ConfigurationUpdate;
 import org.magnoliaswitch.front.peer.HeldConfiguration;
 import org.magnoliaswitch.front.peer.PeerHub;
-import org.magnoliaswitch.front.peer.PeerNews;
 import org.magnoliaswitch.front.peer.PeerSubscription;
+import org.magnoliaswitch.front.peer.PeerUpdate;
 import org.magnoliaswitch.front.peer.ServerChanges;
 import org.magnoliaswitch.front.version.RouteTable;
 import org.magnoliaswitch.front.version.RouteUpdate;
@@ -79,7 +79,7 @@
             control,
             environment.clocks(),
             () ->
-                new PeerHub.Knowledge(
+                new PeerHub.Snapshot(
                     reader.ageMillis(),
                     reader.operatorStateAgeMillis(),
                     environment.routes().get(),
@@ -117,7 +117,7 @@
     environment.metrics().gauge("knowledge.age.milliseconds", reader::ageMillis);
     environment.metrics().gauge("configuration.age.milliseconds", reader::operatorStateAgeMillis);
     environment.metrics().gauge("servers.age.milliseconds", reader::serversAgeMillis);
-    environment.metrics().gauge("peer.bytes.told", hub::bytesTold);
+    environment.metrics().gauge("peer.bytes.told", hub::bytesSent);
     environment.metrics().gauge("peer.listeners.dropped", hub::listenersDropped);
     environment.metrics().gauge("peer.listeners.behind", hub::listenersBehind);
     environment.metrics().gauge("instances", () -> environment.instances().count());
@@ -149,7 +149,7 @@
     toReport.clear();
     toTell.clear();
     subscriptions.values().forEach(subscription -> subscription.report(reports));
-    hub.tell(news);
+    hub.publish(news);
   }
 
   /** Whether others hear of what happens here, or there are none. */
@@ -158,12 +158,12 @@
   }
 
   private boolean hearsPeers() {
-    return subscriptions.values().stream().anyMatch(PeerSubscription::hearing);
+    return subscriptions.values().stream().anyMatch(PeerSubscription::receiving);
   }
 
-  private void heard(InetSocketAddress seed, PeerNews news, ServerList servers) {
+  private void heard(InetSocketAddress seed, PeerUpdate news, ServerList servers) {
     instancesByPeer.put(seed, news.instances());
-    news.place().ifPresent(place -> placesBySeed.put(seed, place));
+    news.instanceIndex().ifPresent(place -> placesBySeed.put(seed, place));
     learnInstances();
     reader.heard(news, servers);
     confirm();
@@ -172,7 +172,7 @@
 
   private void tell() {
     learnInstances();
-    hub.tellAll();
+    hub.publish();
     confirm();
   }
 
@@ -199,7 +199,7 @@
   private void passOn() {
     subscriptions.values().stream()
         .filter(PeerSubscription::peerStale)
-        .forEach(seed -> seed.passOn(this::known));
+        .forEach(seed -> seed.forward(this::known));
   }
 
   /**
@@ -207,24 +207,24 @@
    *
    * @param version configuration that the receiver has
    */
-  private PeerNews known(long version) {
+  private PeerUpdate known(long version) {
     RouteTable routes = knownState.routes();
     Optional<RouteUpdate> update =
         version < routes.version() ? Optional.of(new RouteUpdate.Whole(routes)) : Optional.empty();
-    return new PeerNews(
+    return new PeerUpdate(
         reader.ageMillis(),
         environment.instances().count(),
         Optional.empty(),
         ServerChanges.between(ServerList.EMPTY, knownState.servers()),
         knownState.evacuations(),
         List.of(),
-        Optional.of(hub.ownPlace()),
+        Optional.of(hub.ownIndex()),
         Optional.of(
-            new ConfigurationNews(routes.version(), reader.operatorStateAgeMillis(), update)));
+            new ConfigurationUpdate(routes.version(), reader.operatorStateAgeMillis(), update)));
   }
 
   /** What a listener has read itself; told to all at once, so that none of them reads too. */
-  private void heardOfListener(PeerNews news) {
+  private void heardOfListener(PeerUpdate news) {
     if (news.ageMillis() < reader.ageMillis()) {
       reader.heard(news, news.servers().applyTo(ServerList.EMPTY));
       tell();
@@ -237,7 +237,7 @@
   }
 
   private void confirm() {
-    subscriptions.values().forEach(PeerSubscription::confirm);
+    subscriptions.values().forEach(PeerSubscription::acknowledge);
   }
 
   private HeldConfiguration held(InetSocketAddress seed) {
@@ -248,13 +248,13 @@
    * Seeds share the work: a large configuration from each of them to each instance would keep
    * narrow links busy for seconds. Seeds themselves take it from whoever has it first.
    */
-  private HeldConfiguration.Supply supply(InetSocketAddress seed) {
+  private HeldConfiguration.Delivery supply(InetSocketAddress seed) {
     if (seed()) {
-      return HeldConfiguration.Supply.FIRST;
+      return HeldConfiguration.Delivery.FIRST;
     }
     return seed.equals(supplier())
-        ? HeldConfiguration.Supply.AT_ONCE
-        : HeldConfiguration.Supply.IN_RESERVE;
+        ? HeldConfiguration.Delivery.IMMEDIATE
+        : HeldConfiguration.Delivery.DEFERRED;
   }
 
   /** The first seed that is heard, in an order that differs between instances. */
@@ -264,7 +264,7 @@
     for (int i = 0; i < seeds.size(); i++) {
       InetSocketAddress seed = seeds.get((start + i) % seeds.size());
       PeerSubscription subscription = subscriptions.get(seed);
-      if (subscription != null && subscription.hearing()) {
+      if (subscription != null && subscription.receiving()) {
         return seed;
       }
     }
@@ -291,10 +291,10 @@
   private Optional<InstancePlace> firstPlace() {
     for (InetSocketAddress seed : environment.settings().seeds()) {
       if (seed.equals(environment.settings().peers())) {
-        return Optional.of(hub.ownPlace());
+        return Optional.of(hub.ownIndex());
       }
       PeerSubscription subscription = subscriptions.get(seed);
-      if (subscription != null && subscription.hearing() && placesBySeed.containsKey(seed)) {
+      if (subscription != null && subscription.receiving() && placesBySeed.containsKey(seed)) {
         return Optional.of(placesBySeed.get(seed));
       }
     }
