--- a/front/src/main/java/org/magnoliaswitch/front/load/ColdShare.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/ColdShare.java
@@ -14,7 +14,7 @@
  * pass it by. A bucket of a fraction of a request a second would not do: every instance starts with
  * the same right to a first request, and all use it at once.
  *
- * <p>Who sends is drawn for each server's incarnation ({@link SenderDraw}).
+ * <p>Who sends is drawn for each server's incarnation ({@link SenderSelection}).
  *
  * @param mostPerSecond sends of this instance to the server in any second; 0 if it may not send
  */
@@ -42,14 +42,14 @@
   }
 
   /** The share of one instance. */
-  public static ColdShare of(Warmup warmup, Bounds bounds, SenderDraw draw) {
+  public static ColdShare of(Warmup warmup, Bounds bounds, SenderSelection selection) {
     if (!warmup.limited()) {
       return UNLIMITED;
     }
     double planned = bounds.plannedPerSecond(warmup);
-    if (draw.sharers() <= planned) {
-      return new ColdShare((int) (planned / draw.sharers()));
+    if (selection.candidates() <= planned) {
+      return new ColdShare((int) (planned / selection.candidates()));
     }
-    return new ColdShare(draw.drawn(planned) ? 1 : 0);
+    return new ColdShare(selection.selected(planned) ? 1 : 0);
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/load/InstancePlace.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/InstanceIndex.java
@@ -7,13 +7,14 @@
  * word: each works out by itself whether it is one of them.
  *
  * @param index place of this instance, from 0
- * @param places how many places there are, those of instances that left and were not replaced
- *     included
+ * @param count how many places there are, those of instances that left and were not
+ *     replaced included
  */
-public record InstancePlace(int index, int places) {
-  public InstancePlace {
-    if (index < 0 || index >= places) {
-      throw new IllegalArgumentException("place " + index + " of " + places);
+public record InstanceIndex(int index, int count) {
+  public InstanceIndex {
+    if (index < 0 || index >= count) {
+      throw new IllegalArgumentException(
+          "instance index " + index + " is not in the range 0 to " + (count - 1));
     }
   }
 
@@ -22,14 +23,14 @@
    * changes a draw by one instance at most, so those that do not know of it yet draw nearly the
    * same.
    */
-  public boolean drawn(String name, int count) {
+  public boolean selected(String name, int selectedCount) {
     long own = NameHash.of(String.valueOf(index), name);
     int before = 0;
-    for (int other = 0; other < places && before < count; other++) {
+    for (int other = 0; other < count && before < selectedCount; other++) {
       if (other != index && NameHash.of(String.valueOf(other), name) > own) {
         before++;
       }
     }
-    return before < count;
+    return before < selectedCount;
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/load/RateLimitShare.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/RateLimitShare.java
@@ -29,12 +29,12 @@
    * @param perSecond requests a second that the server takes from all instances
    * @param part share of the service's servers that each instance sends to
    */
-  public static RateLimitShare of(double perSecond, SenderDraw draw, double part) {
+  public static RateLimitShare of(double perSecond, SenderSelection selection, double part) {
     double planned = perSecond * SPAN_NANOS / NANOS_PER_SECOND;
-    double senders = Math.max(1, draw.sharers() * Math.min(1, PART_MARGIN * part));
+    double senders = Math.max(1, selection.candidates() * Math.min(1, PART_MARGIN * part));
     double even = planned / senders;
     int whole = (int) even;
-    boolean oneMore = draw.drawn((even - whole) * draw.sharers());
+    boolean oneMore = selection.selected((even - whole) * selection.candidates());
     return new RateLimitShare(whole + (oneMore ? 1 : 0));
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerHub.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerHub.java
@@ -28,7 +28,7 @@
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.core.crash.CrashReport;
 import org.magnoliaswitch.core.crash.CrashTable;
-import org.magnoliaswitch.front.load.InstancePlace;
+import org.magnoliaswitch.front.load.InstanceIndex;
 import org.magnoliaswitch.front.loop.Channels;
 import org.magnoliaswitch.front.loop.Loop;
 import org.magnoliaswitch.front.version.Evacuations;
@@ -139,12 +139,12 @@
   }
 
   /** This instance's own place among those that listen to it. */
-  public InstancePlace ownPlace() {
+  public InstanceIndex ownPlace() {
     return placeAt(OWN_PLACE);
   }
 
-  private InstancePlace placeAt(int index) {
-    return new InstancePlace(index, taken.length());
+  private InstanceIndex placeAt(int index) {
+    return new InstanceIndex(index, taken.length());
   }
 
   /** Tells everyone now. */
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerNews.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerNews.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.magnoliaswitch.core.crash.CrashReport;
-import org.magnoliaswitch.front.load.InstancePlace;
+import org.magnoliaswitch.front.load.InstanceIndex;
 import org.magnoliaswitch.front.version.Evacuations;
 import org.magnoliaswitch.front.version.RouteTable;
 
@@ -29,7 +29,7 @@
     ServerChanges servers,
     Evacuations evacuations,
     List<CrashReport> crashes,
-    Optional<InstancePlace> place,
+    Optional<InstanceIndex> place,
     Optional<ConfigurationNews> configuration) {
   public PeerNews {
     if (configuration.isPresent() && place.isEmpty()) {
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerNewsCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerNewsCodec.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.magnoliaswitch.core.crash.CrashReport;
 import org.magnoliaswitch.core.peer.CrashReportCodec;
-import org.magnoliaswitch.front.load.InstancePlace;
+import org.magnoliaswitch.front.load.InstanceIndex;
 import org.magnoliaswitch.front.version.Evacuations;
 import org.magnoliaswitch.front.version.RouteTable;
 import org.magnoliaswitch.front.version.RouteUpdate;
@@ -64,7 +64,7 @@
    * @param version version of the configuration in force here
    * @param ageMillis how long ago that was known to be the newest
    */
-  static byte[] encodeEnd(InstancePlace place, long version, long ageMillis) {
+  static byte[] encodeEnd(InstanceIndex place, long version, long ageMillis) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       writePlace(out, place);
       out.packLong(version);
@@ -81,14 +81,14 @@
     return new ConfigurationNews(version, age, RouteUpdateCodec.read(in));
   }
 
-  private static void writePlace(MessagePacker out, InstancePlace place) throws IOException {
+  private static void writePlace(MessagePacker out, InstanceIndex place) throws IOException {
     out.packInt(place.index());
-    out.packInt(place.places());
+    out.packInt(place.count());
   }
 
-  private static InstancePlace readPlace(MessageUnpacker in) throws IOException {
+  private static InstanceIndex readPlace(MessageUnpacker in) throws IOException {
     int index = in.unpackInt();
-    return new InstancePlace(index, in.unpackInt());
+    return new InstanceIndex(index, in.unpackInt());
   }
 
   /** Decodes a message; anything malformed is an {@link IOException}. */
@@ -109,7 +109,7 @@
       if (routes.isPresent() && in.hasNext()) {
         routes = Optional.of(RouteExtrasCodec.read(in, routes.get()));
       }
-      Optional<InstancePlace> place = in.hasNext() ? Optional.of(readPlace(in)) : Optional.empty();
+      Optional<InstanceIndex> place = in.hasNext() ? Optional.of(readPlace(in)) : Optional.empty();
       Optional<ConfigurationNews> configuration =
           in.hasNext() ? Optional.of(readConfiguration(in)) : Optional.empty();
       return new PeerNews(
--- a/front/src/main/java/org/magnoliaswitch/front/process/ColdSends.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ColdSends.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.front.load.ColdShare;
-import org.magnoliaswitch.front.load.SenderDraw;
+import org.magnoliaswitch.front.load.SenderSelection;
 import org.magnoliaswitch.front.load.ServerState;
 import org.magnoliaswitch.front.version.RouteTable;
 import org.magnoliaswitch.front.version.Warmup;
@@ -63,7 +63,7 @@
   }
 
   private ColdShare share(Cold cold) {
-    SenderDraw draw = instances.draw(settings.instance(), cold.incarnation());
-    return ColdShare.of(cold.warmup(), settings.coldSends(), draw);
+    SenderSelection selection = instances.draw(settings.instance(), cold.incarnation());
+    return ColdShare.of(cold.warmup(), settings.coldSends(), selection);
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/InstanceCount.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/InstanceCount.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicReference;
 import org.magnoliaswitch.core.clock.Clocks;
-import org.magnoliaswitch.front.load.InstancePlace;
-import org.magnoliaswitch.front.load.SenderDraw;
+import org.magnoliaswitch.front.load.InstanceIndex;
+import org.magnoliaswitch.front.load.SenderSelection;
 
 /**
  * How many instances serve and which of their places this one has, as far as it knows; safe for
@@ -19,7 +19,7 @@
   private static final long SETTLE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   private final AtomicInteger count;
-  private final AtomicReference<Optional<InstancePlace>> place =
+  private final AtomicReference<Optional<InstanceIndex>> place =
       new AtomicReference<>(Optional.empty());
   private final Clocks clocks;
   private final long startedNanos;
@@ -49,12 +49,12 @@
    * This instance's place among all; the last one it had while it hears nobody, since the others go
    * on counting on it for a while.
    */
-  public Optional<InstancePlace> place() {
+  public Optional<InstanceIndex> place() {
     return place.get();
   }
 
   /** Takes a place that others tell. */
-  public void placed(InstancePlace told) {
+  public void placed(InstanceIndex told) {
     place.set(Optional.of(told));
   }
 
@@ -64,8 +64,8 @@
    * @param instance name of this instance
    * @param incarnation names the server and its start
    */
-  SenderDraw draw(String instance, String incarnation) {
-    return new SenderDraw(instance, incarnation, count(), place());
+  SenderSelection draw(String instance, String incarnation) {
+    return new SenderSelection(instance, incarnation, count(), place());
   }
 
   /** Whether there was time to find the others. */
--- a/front/src/main/java/org/magnoliaswitch/front/process/News.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/News.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import org.magnoliaswitch.core.crash.CrashReport;
 import org.magnoliaswitch.core.process.CrashWatch;
-import org.magnoliaswitch.front.load.InstancePlace;
+import org.magnoliaswitch.front.load.InstanceIndex;
 import org.magnoliaswitch.front.loop.Loop;
 import org.magnoliaswitch.front.peer.ConfigurationNews;
 import org.magnoliaswitch.front.peer.HeldConfiguration;
@@ -45,7 +45,7 @@
   private final PeerHub hub;
   private final NewsReader reader;
   private final Map<InetSocketAddress, Integer> instancesByPeer = new HashMap<>();
-  private final Map<InetSocketAddress, InstancePlace> placesBySeed = new HashMap<>();
+  private final Map<InetSocketAddress, InstanceIndex> placesBySeed = new HashMap<>();
   private final CrashArchive archive;
   private final Map<InetSocketAddress, PeerSubscription> subscriptions = new LinkedHashMap<>();
   private final List<CrashReport> toReport = new ArrayList<>();
@@ -270,15 +270,15 @@
     return seeds.get(start);
   }
 
-  private void placed(InstancePlace place) {
-    Optional<Integer> before = environment.instances().place().map(InstancePlace::index);
+  private void placed(InstanceIndex place) {
+    Optional<Integer> before = environment.instances().place().map(InstanceIndex::index);
     environment.instances().placed(place);
     if (!before.equals(Optional.of(place.index()))) {
       environment
           .log()
           .belief("placed")
           .add("index", place.index())
-          .add("places", place.places())
+          .add("places", place.count())
           .write();
     }
   }
@@ -287,7 +287,7 @@
    * The place that the first seed gives which is heard, so that all instances have theirs from the
    * same one. A seed has its own among its listeners.
    */
-  private Optional<InstancePlace> firstPlace() {
+  private Optional<InstanceIndex> firstPlace() {
     for (InetSocketAddress seed : environment.settings().seeds()) {
       if (seed.equals(environment.settings().peers())) {
         return Optional.of(hub.ownPlace());
--- a/front/src/main/java/org/magnoliaswitch/front/process/SendQuotas.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/SendQuotas.java
@@ -5,7 +5,7 @@
 import java.util.function.ToDoubleFunction;
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.front.load.RateLimitShare;
-import org.magnoliaswitch.front.load.SenderDraw;
+import org.magnoliaswitch.front.load.SenderSelection;
 import org.magnoliaswitch.front.load.ServerState;
 
 /**
@@ -93,7 +93,7 @@
   }
 
   private RateLimitShare share(Limit limit) {
-    SenderDraw draw = instances.draw(settings.instance(), limit.incarnation());
-    return RateLimitShare.of(limit.perSecond(), draw, limit.part());
+    SenderSelection selection = instances.draw(settings.instance(), limit.incarnation());
+    return RateLimitShare.of(limit.perSecond(), selection, limit.part());
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/ShareCache.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ShareCache.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Function;
-import org.magnoliaswitch.front.load.InstancePlace;
+import org.magnoliaswitch.front.load.InstanceIndex;
 
 /**
  * Keeps this instance's shares of what all instances together may send, until the number of
@@ -23,7 +23,7 @@
   private Basis basis = new Basis(0, Optional.empty());
 
   /** What all shares are worked out from. */
-  private record Basis(int instances, Optional<InstancePlace> place) {}
+  private record Basis(int instances, Optional<InstanceIndex> place) {}
 
   ShareCache(InstanceCount instances, Function<K, S> workOut) {
     this.instances = instances;
--- a/front/src/test/java/org/magnoliaswitch/front/load/ColdShareTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/ColdShareTest.java
@@ -24,13 +24,13 @@
 
   private static final int SERVERS = 200;
 
-  private static final Optional<InstancePlace> NOWHERE = Optional.empty();
+  private static final Optional<InstanceIndex> NOWHERE = Optional.empty();
 
   private static int sharesOf(String server, int instances, int believed) {
     int sum = 0;
     for (int i = 0; i < instances; i++) {
       sum +=
-          ColdShare.of(WARMUP, BOUNDS, new SenderDraw("front-" + i, server, believed, NOWHERE))
+          ColdShare.of(WARMUP, BOUNDS, new SenderSelection("front-" + i, server, believed, NOWHERE))
               .mostPerSecond();
     }
     return sum;
@@ -80,7 +80,7 @@
   @Test
   public void aServiceThatDeclaresNothingIsNotLimited() {
     ColdShare share =
-        ColdShare.of(Warmup.UNLIMITED, BOUNDS, new SenderDraw("a", "i@0", 100, NOWHERE));
+        ColdShare.of(Warmup.UNLIMITED, BOUNDS, new SenderSelection("a", "i@0", 100, NOWHERE));
     assertEquals(share.mostPerSecond(), Integer.MAX_VALUE);
   }
 
@@ -89,8 +89,8 @@
     private static final int INSTANCES = 97;
 
     private static int share(String server, int place, int places) {
-      Optional<InstancePlace> known = Optional.of(new InstancePlace(place, places));
-      return ColdShare.of(WARMUP, BOUNDS, new SenderDraw("front", server, places, known))
+      Optional<InstanceIndex> known = Optional.of(new InstanceIndex(place, places));
+      return ColdShare.of(WARMUP, BOUNDS, new SenderSelection("front", server, places, known))
           .mostPerSecond();
     }
 
@@ -148,7 +148,8 @@
         int named = 0;
         for (int k = 0; k < 2 * INSTANCES / 3; k++) {
           named +=
-              ColdShare.of(WARMUP, BOUNDS, new SenderDraw("front-" + k, server, INSTANCES, NOWHERE))
+              ColdShare.of(
+                      WARMUP, BOUNDS, new SenderSelection("front-" + k, server, INSTANCES, NOWHERE))
                   .mostPerSecond();
         }
         int all = named + sum(server, shuffled(3).subList(0, INSTANCES / 3));
@@ -162,9 +163,10 @@
       Warmup one = new Warmup(TimeUnit.SECONDS.toNanos(3), 1);
       int senders = 0;
       for (int place = 0; place < INSTANCES; place++) {
-        Optional<InstancePlace> known = Optional.of(new InstancePlace(place, INSTANCES));
+        Optional<InstanceIndex> known = Optional.of(new InstanceIndex(place, INSTANCES));
         senders +=
-            ColdShare.of(one, ColdShare.Bounds.NONE, new SenderDraw("a", "i@0", INSTANCES, known))
+            ColdShare.of(
+                    one, ColdShare.Bounds.NONE, new SenderSelection("a", "i@0", INSTANCES, known))
                 .mostPerSecond();
       }
       assertEquals(senders, 1);
@@ -216,7 +218,9 @@
       public boolean send(int instance, long nowNanos) {
         ColdShare share =
             ColdShare.of(
-                WARMUP, BOUNDS, new SenderDraw("front-" + instance, server, INSTANCES, NOWHERE));
+                WARMUP,
+                BOUNDS,
+                new SenderSelection("front-" + instance, server, INSTANCES, NOWHERE));
         SendWindow window = windows.get(instance);
         if (window.size(TimeUnit.SECONDS.toNanos(1), nowNanos) >= share.mostPerSecond()) {
           return false;
--- a/front/src/test/java/org/magnoliaswitch/front/load/InstancePlaceTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/InstanceIndexTest.java
@@ -12,10 +12,10 @@
 import org.testng.annotations.Test;
 
 /** Draws among instances that do not ask each other. */
-public final class InstancePlaceTest {
-  private static Set<Integer> drawn(String name, int count, int places) {
-    return IntStream.range(0, places)
-        .filter(index -> new InstancePlace(index, places).drawn(name, count))
+public final class InstanceIndexTest {
+  private static Set<Integer> selected(String name, int selectedCount, int count) {
+    return IntStream.range(0, count)
+        .filter(index -> new InstanceIndex(index, count).selected(name, selectedCount))
         .boxed()
         .collect(Collectors.toSet());
   }
@@ -28,28 +28,28 @@
   @Test(dataProvider = "sizes")
   public void exactlyAsManyAreDrawnAsAskedFor(int places) {
     for (int server = 0; server < 50; server++) {
-      assertEquals(drawn("i-" + server + "@0", 5, places).size(), 5);
+      assertEquals(selected("i-" + server + "@0", 5, places).size(), 5);
     }
   }
 
   @Test
   public void whereThereAreFewerAllAreDrawn() {
-    assertEquals(drawn("i-1@0", 5, 3), Set.of(0, 1, 2));
+    assertEquals(selected("i-1@0", 5, 3), Set.of(0, 1, 2));
   }
 
   /** Somebody joins; those who have not heard of it must not draw others than those who have. */
   @Test
   public void onePlaceMoreChangesADrawByOneAtMost() {
     for (int server = 0; server < 200; server++) {
-      Set<Integer> both = new HashSet<>(drawn("i-" + server + "@0", 5, 97));
-      both.addAll(drawn("i-" + server + "@0", 5, 98));
+      Set<Integer> both = new HashSet<>(selected("i-" + server + "@0", 5, 97));
+      both.addAll(selected("i-" + server + "@0", 5, 98));
       assertTrue(both.size() <= 6, both.toString());
     }
   }
 
   @Test
   public void aPlaceLiesAmongThePlaces() {
-    assertThrows(IllegalArgumentException.class, () -> new InstancePlace(3, 3));
-    assertThrows(IllegalArgumentException.class, () -> new InstancePlace(-1, 3));
+    assertThrows(IllegalArgumentException.class, () -> new InstanceIndex(3, 3));
+    assertThrows(IllegalArgumentException.class, () -> new InstanceIndex(-1, 3));
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/load/RateLimitShareTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/RateLimitShareTest.java
@@ -22,10 +22,10 @@
     return 1.5 * perSecond * SPAN_SECONDS + 5;
   }
 
-  private static SenderDraw draw(int instance, String server, int believed, boolean placed) {
-    Optional<InstancePlace> place =
-        placed ? Optional.of(new InstancePlace(instance, believed)) : Optional.empty();
-    return new SenderDraw("front-" + instance, server, believed, place);
+  private static SenderSelection draw(int instance, String server, int believed, boolean placed) {
+    Optional<InstanceIndex> place =
+        placed ? Optional.of(new InstanceIndex(instance, believed)) : Optional.empty();
+    return new SenderSelection("front-" + instance, server, believed, place);
   }
 
   /** Shares of the instances whose part of the servers holds this one. */
@@ -35,7 +35,7 @@
     Random random = new Random(server.hashCode());
     for (int i = 0; i < instances; i++) {
       if (random.nextDouble() < part) {
-        SenderDraw draw = draw(i, server, believed, placed && i < believed);
+        SenderSelection draw = draw(i, server, believed, placed && i < believed);
         sum += RateLimitShare.of(perSecond, draw, part).mostInSpan();
       }
     }
--- a/front/src/test/java/org/magnoliaswitch/front/load/SenderDrawTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/SenderSelectionTest.java
@@ -7,17 +7,17 @@
 import org.testng.annotations.Test;
 
 /** Which instances send to a server that few may send to. */
-public final class SenderDrawTest {
+public final class SenderSelectionTest {
   private static final int INSTANCES = 100;
   private static final int SERVERS = 500;
 
-  private static SenderDraw placed(int index, String server) {
-    Optional<InstancePlace> place = Optional.of(new InstancePlace(index, INSTANCES));
-    return new SenderDraw("front", server, INSTANCES, place);
+  private static SenderSelection indexed(int index, String server) {
+    Optional<InstanceIndex> instanceIndex = Optional.of(new InstanceIndex(index, INSTANCES));
+    return new SenderSelection("front", server, INSTANCES, instanceIndex);
   }
 
-  private static SenderDraw named(int index, String server) {
-    return new SenderDraw("front-" + index, server, INSTANCES, Optional.empty());
+  private static SenderSelection byName(int index, String server) {
+    return new SenderSelection("front-" + index, server, INSTANCES, Optional.empty());
   }
 
   @Test
@@ -25,7 +25,7 @@
     for (int server = 0; server < SERVERS; server++) {
       int drawn = 0;
       for (int i = 0; i < INSTANCES; i++) {
-        drawn += placed(i, "i-" + server).drawn(8) ? 1 : 0;
+        drawn += indexed(i, "i-" + server).selected(8) ? 1 : 0;
       }
       assertEquals(drawn, 6);
     }
@@ -38,7 +38,7 @@
     for (int server = 0; server < SERVERS; server++) {
       int drawn = 0;
       for (int i = 0; i < INSTANCES; i++) {
-        drawn += named(i, "i-" + server).drawn(8) ? 1 : 0;
+        drawn += byName(i, "i-" + server).selected(8) ? 1 : 0;
       }
       beyond += drawn > 8 ? 1 : 0;
     }
@@ -48,7 +48,7 @@
   @Test
   public void whereNoneMaySendNoneIsDrawn() {
     for (int i = 0; i < INSTANCES; i++) {
-      assertTrue(!placed(i, "i-1").drawn(0) && !named(i, "i-1").drawn(0));
+      assertTrue(!indexed(i, "i-1").selected(0) && !byName(i, "i-1").selected(0));
     }
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/peer/PeerNewsCodecTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/PeerNewsCodecTest.java
@@ -14,7 +14,7 @@
 import org.magnoliaswitch.core.crash.CrashReport;
 import org.magnoliaswitch.core.crash.RequestIdentity;
 import org.magnoliaswitch.core.peer.CrashReportCodec;
-import org.magnoliaswitch.front.load.InstancePlace;
+import org.magnoliaswitch.front.load.InstanceIndex;
 import org.magnoliaswitch.front.testing.DamagedBytes;
 import org.magnoliaswitch.front.testing.Servers;
 import org.magnoliaswitch.front.version.CallerLimits;
@@ -60,7 +60,7 @@
           new ServerChanges(9, List.of(Servers.entry("i", true)), List.of("j")),
           new Evacuations(8, Set.of("x", "y")),
           REPORTS,
-          Optional.of(new InstancePlace(2, 5)),
+          Optional.of(new InstanceIndex(2, 5)),
           Optional.empty());
 
   @Test
@@ -141,7 +141,7 @@
             List.of(),
             Optional.empty(),
             Optional.empty());
-    InstancePlace place = new InstancePlace(3, 97);
+    InstanceIndex place = new InstanceIndex(3, 97);
     byte[] message = PeerNewsCodec.encode(shared);
     byte[] end = PeerNewsCodec.encodeEnd(place, 7, 0);
     byte[] update = RouteUpdateCodec.encode(Optional.empty());
--- a/front/src/test/java/org/magnoliaswitch/front/peer/RouteUpdateCodecTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/RouteUpdateCodecTest.java
@@ -12,7 +12,7 @@
 import org.magnoliaswitch.core.crash.CrashReport;
 import org.magnoliaswitch.core.crash.RequestIdentity;
 import org.magnoliaswitch.core.peer.CrashReportCodec;
-import org.magnoliaswitch.front.load.InstancePlace;
+import org.magnoliaswitch.front.load.InstanceIndex;
 import org.magnoliaswitch.front.testing.DamagedBytes;
 import org.magnoliaswitch.front.version.CallerLimits;
 import org.magnoliaswitch.front.version.Evacuations;
@@ -53,7 +53,7 @@
         ServerChanges.between(ServerList.EMPTY, ServerList.EMPTY),
         Evacuations.UNKNOWN,
         List.of(),
-        Optional.of(new InstancePlace(0, 1)),
+        Optional.of(new InstanceIndex(0, 1)),
         Optional.of(new ConfigurationNews(update.version(), 12, Optional.of(update))));
   }
 
--- a/front/src/test/java/org/magnoliaswitch/front/process/NewsTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/NewsTest.java
@@ -23,7 +23,7 @@
 import org.magnoliaswitch.core.crash.SuspicionLevel;
 import org.magnoliaswitch.core.process.CrashWatch;
 import org.magnoliaswitch.front.connection.ServerConnector;
-import org.magnoliaswitch.front.load.InstancePlace;
+import org.magnoliaswitch.front.load.InstanceIndex;
 import org.magnoliaswitch.front.load.SharedRetryBudget;
 import org.magnoliaswitch.front.loop.Loop;
 import org.magnoliaswitch.front.testing.Servers;
@@ -236,7 +236,7 @@
       Set<Integer> indices = new HashSet<>();
       for (Learner learner : all) {
         InstanceCount instances = learner.environment.instances();
-        while (instances.place().map(InstancePlace::places).orElse(0) < all.size()) {
+        while (instances.place().map(InstanceIndex::count).orElse(0) < all.size()) {
           Thread.onSpinWait();
         }
         indices.add(instances.place().orElseThrow().index());
--- a/front/src/test/java/org/magnoliaswitch/front/process/SendQuotasTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/SendQuotasTest.java
@@ -7,7 +7,7 @@
 import java.util.OptionalDouble;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
-import org.magnoliaswitch.front.load.InstancePlace;
+import org.magnoliaswitch.front.load.InstanceIndex;
 import org.magnoliaswitch.front.load.ServerNotice;
 import org.magnoliaswitch.front.load.ServerState;
 import org.magnoliaswitch.front.testing.PausedClock;
@@ -144,10 +144,10 @@
     assertEquals(quotas.waitNanos(server), 2 * SECOND);
   }
 
-  private InstancePlace placeWithoutShare() {
+  private InstanceIndex placeWithoutShare() {
     for (int index = 0; index < 100; index++) {
-      InstancePlace place = new InstancePlace(index, 100);
-      if (!place.drawn(server.entry().incarnation(), 3)) {
+      InstanceIndex place = new InstanceIndex(index, 100);
+      if (!place.selected(server.entry().incarnation(), 3)) {
         return place;
       }
     }
--- a/front/src/test/java/org/magnoliaswitch/front/process/ShareCacheTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ShareCacheTest.java
@@ -2,7 +2,7 @@
 
 import static org.testng.Assert.assertEquals;
 
-import org.magnoliaswitch.front.load.InstancePlace;
+import org.magnoliaswitch.front.load.InstanceIndex;
 import org.magnoliaswitch.front.testing.PausedClock;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -33,7 +33,7 @@
     shares.of("a");
     instances.learnt(3);
     shares.of("a");
-    instances.placed(new InstancePlace(1, 3));
+    instances.placed(new InstanceIndex(1, 3));
     shares.of("a");
     assertEquals(workedOut, 3);
   }
