--- a/core/src/main/java/org/magnoliaswitch/core/crash/CrashCase.java
+++ b/core/src/main/java/org/magnoliaswitch/core/crash/CrashCase.java
@@ -85,16 +85,16 @@
   /** This case with a report added; the same object when the report is not new. */
   CrashCase with(CrashReport report, long nowNanos) {
     return switch (report) {
-      case CrashReport.Ended ended -> withEnd(ended, nowNanos);
+      case CrashReport.Crashed ended -> withEnd(ended, nowNanos);
       case CrashReport.Cleared gone -> without(gone);
-      case CrashReport.Tried tried ->
-          tried.trial() <= trials
+      case CrashReport.TrialStarted tried ->
+          tried.trialNumber() <= trials
               ? this
-              : new CrashCase(ends, cleared, tried.trial(), clearedTrials, nowNanos);
+              : new CrashCase(ends, cleared, tried.trialNumber(), clearedTrials, nowNanos);
     };
   }
 
-  private CrashCase withEnd(CrashReport.Ended ended, long nowNanos) {
+  private CrashCase withEnd(CrashReport.Crashed ended, long nowNanos) {
     boolean known = ends.containsKey(ended.server());
     boolean nothingNew = known && (ends.get(ended.server()) || !ended.warned());
     boolean full = !known && ends.size() >= MAX_ENDS;
@@ -191,12 +191,12 @@
   /** Everything that is known, for somebody who knows nothing yet. */
   List<CrashReport> reports(RequestIdentity request) {
     List<CrashReport> reports = new ArrayList<>();
-    ends.forEach((server, warned) -> reports.add(new CrashReport.Ended(request, server, warned)));
+    ends.forEach((server, warned) -> reports.add(new CrashReport.Crashed(request, server, warned)));
     if (!cleared.isEmpty() || clearedTrials > 0) {
       reports.add(new CrashReport.Cleared(request, cleared, clearedTrials));
     }
     if (trials > 0) {
-      reports.add(new CrashReport.Tried(request, trials));
+      reports.add(new CrashReport.TrialStarted(request, trials));
     }
     return reports;
   }
--- a/core/src/main/java/org/magnoliaswitch/core/crash/CrashReport.java
+++ b/core/src/main/java/org/magnoliaswitch/core/crash/CrashReport.java
@@ -19,7 +19,7 @@
    * @param server incarnation of the server
    * @param warned whether the sender knew the request for suspect when it sent it
    */
-  record Ended(RequestIdentity request, String server, boolean warned) implements CrashReport {}
+  record Crashed(RequestIdentity request, String server, boolean warned) implements CrashReport {}
 
   /**
    * The request is not the cause of these ends: a server has answered it since, or they were none.
@@ -36,7 +36,7 @@
   /**
    * A suspect request is let through to one server, to see whether that ends too.
    *
-   * @param trial how many times it has been let through, this one included
+   * @param trialNumber how many times it has been let through, this one included
    */
-  record Tried(RequestIdentity request, int trial) implements CrashReport {}
+  record TrialStarted(RequestIdentity request, int trialNumber) implements CrashReport {}
 }
--- a/core/src/main/java/org/magnoliaswitch/core/crash/CrashTable.java
+++ b/core/src/main/java/org/magnoliaswitch/core/crash/CrashTable.java
@@ -32,7 +32,7 @@
   private static final Comparator<Map.Entry<RequestIdentity, CrashCase>> STRONGEST_FIRST =
       Comparator.<Map.Entry<RequestIdentity, CrashCase>>comparingInt(
               entry -> -entry.getValue().ends().size())
-          .thenComparing(entry -> !entry.getKey().ofOneCaller())
+          .thenComparing(entry -> !entry.getKey().callerSpecific())
           .thenComparing(entry -> entry.getKey().toString());
 
   /** Knows of nothing. */
@@ -84,9 +84,9 @@
    * A table with reports added.
    *
    * @param table the table
-   * @param news those of the reports that changed it
+   * @param newReports those of the reports that changed it
    */
-  public record Update(CrashTable table, List<CrashReport> news) {}
+  public record Update(CrashTable table, List<CrashReport> newReports) {}
 
   /** Adds reports. */
   public Update with(List<CrashReport> reports, long nowNanos) {
@@ -114,7 +114,7 @@
   }
 
   /** This table without cases that have been quiet for long. */
-  public CrashTable withoutOutdated(long nowNanos) {
+  public CrashTable withoutExpired(long nowNanos) {
     Map<RequestIdentity, CrashCase> kept = new HashMap<>(cases);
     kept.values().removeIf(known -> known.outdated(nowNanos));
     return kept.size() == cases.size() ? this : new CrashTable(kept);
@@ -131,12 +131,12 @@
   }
 
   /** How far a request is under suspicion. */
-  public SuspicionLevel standing(RequestIdentity request) {
+  public SuspicionLevel suspicionLevel(RequestIdentity request) {
     return judged(request).standing();
   }
 
   /** Time until a request is let through again; zero or less when it may be. */
-  public long pausedNanos(RequestIdentity request, long nowNanos) {
+  public long nanosUntilTrial(RequestIdentity request, long nowNanos) {
     return judged(request).pausedNanos(nowNanos);
   }
 
@@ -151,12 +151,12 @@
   }
 
   /** Incarnations that ended under a request. */
-  public Set<String> endsUnder(RequestIdentity request) {
+  public Set<String> serversCrashedDuring(RequestIdentity request) {
     return judged(request).ends().keySet();
   }
 
   /** A report that clears a request of all that is held against it. */
-  public CrashReport clearanceOf(RequestIdentity request) {
+  public CrashReport clearanceFor(RequestIdentity request) {
     return new CrashReport.Cleared(request, of(request).ends().keySet(), of(request).trials());
   }
 
@@ -166,9 +166,9 @@
   }
 
   /** An end under a request, if it counts. */
-  public Optional<CrashReport.Ended> end(RequestIdentity request, String server) {
+  public Optional<CrashReport.Crashed> crash(RequestIdentity request, String server) {
     return Optional.ofNullable(of(request).ends().get(server))
-        .map(warned -> new CrashReport.Ended(request, server, warned));
+        .map(warned -> new CrashReport.Crashed(request, server, warned));
   }
 
   /** Whether an end under a request was reported and has been cleared since. */
@@ -177,18 +177,18 @@
   }
 
   /** Whether a server is believed to have ended. */
-  public boolean believedEnded(String server) {
+  public boolean presumedCrashed(String server) {
     return ended.contains(server);
   }
 
   /**
    * Reports that clear all ends of a server that lives, if it was believed to have ended before.
    */
-  public List<CrashReport> clearancesOf(String server, long believedBeforeNanos) {
+  public List<CrashReport> clearancesForServer(String server, long reportedBeforeNanos) {
     List<CrashReport> clearances = new ArrayList<>();
     cases.forEach(
         (request, known) -> {
-          if (known.ends().containsKey(server) && known.changedNanos() < believedBeforeNanos) {
+          if (known.ends().containsKey(server) && known.changedNanos() < reportedBeforeNanos) {
             clearances.add(new CrashReport.Cleared(request, Set.of(server), 0));
           }
         });
--- a/core/src/main/java/org/magnoliaswitch/core/crash/RequestIdentity.java
+++ b/core/src/main/java/org/magnoliaswitch/core/crash/RequestIdentity.java
@@ -49,7 +49,7 @@
    *
    * @param caller address of the caller without its port, which is new with each connection
    */
-  public RequestIdentity by(String caller) {
+  public RequestIdentity forCaller(String caller) {
     MessageDigest digest = sha256();
     digest.update(ByteBuffer.allocate(2 * Long.BYTES).putLong(high).putLong(low).flip());
     digest.update(caller.getBytes(StandardCharsets.UTF_8));
@@ -62,7 +62,7 @@
   }
 
   /** Whether this is a request of one caller alone. */
-  public boolean ofOneCaller() {
+  public boolean callerSpecific() {
     return (low & CALLER_BIT) != 0;
   }
 
--- a/core/src/main/java/org/magnoliaswitch/core/peer/CrashReportCodec.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/CrashReportCodec.java
@@ -89,7 +89,7 @@
   private static byte[] framed(CrashReport report) throws IOException {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       switch (report) {
-        case CrashReport.Ended ended -> {
+        case CrashReport.Crashed ended -> {
           writeHead(out, ENDED, ended.request());
           out.packString(ended.server());
           out.packBoolean(ended.warned());
@@ -102,9 +102,9 @@
           }
           out.packInt(cleared.trials());
         }
-        case CrashReport.Tried tried -> {
+        case CrashReport.TrialStarted tried -> {
           writeHead(out, TRIED, tried.request());
-          out.packInt(tried.trial());
+          out.packInt(tried.trialNumber());
         }
       }
       return out.toByteArray();
@@ -122,9 +122,9 @@
     int kind = in.unpackInt();
     RequestIdentity request = new RequestIdentity(in.unpackLong(), in.unpackLong());
     return switch (kind) {
-      case ENDED -> Optional.of(new CrashReport.Ended(request, name(in), in.unpackBoolean()));
+      case ENDED -> Optional.of(new CrashReport.Crashed(request, name(in), in.unpackBoolean()));
       case CLEARED -> Optional.of(new CrashReport.Cleared(request, names(in), in.unpackInt()));
-      case TRIED -> Optional.of(new CrashReport.Tried(request, in.unpackInt()));
+      case TRIED -> Optional.of(new CrashReport.TrialStarted(request, in.unpackInt()));
       default -> Optional.empty();
     };
   }
--- a/core/src/main/java/org/magnoliaswitch/core/process/CrashWatch.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/CrashWatch.java
@@ -95,7 +95,7 @@
   /** Notes that a suspect request is about to be let through, so that nobody else does it too. */
   public void tried(RequestIdentity request) {
     int trial = table.get().trials(request) + 1;
-    take(List.of(new CrashReport.Tried(request, trial)), Source.OWN);
+    take(List.of(new CrashReport.TrialStarted(request, trial)), Source.OWN);
   }
 
   /**
@@ -105,7 +105,7 @@
    */
   public void ended(List<RequestIdentity> identities, String server, boolean warned) {
     List<CrashReport> reports = new ArrayList<>();
-    identities.forEach(identity -> reports.add(new CrashReport.Ended(identity, server, warned)));
+    identities.forEach(identity -> reports.add(new CrashReport.Crashed(identity, server, warned)));
     take(reports, Source.OWN);
   }
 
@@ -121,11 +121,11 @@
     List<CrashReport> reports = new ArrayList<>();
     for (RequestIdentity identity : identities) {
       if (now.clearable(identity)) {
-        reports.add(now.clearanceOf(identity));
+        reports.add(now.clearanceFor(identity));
       }
     }
-    if (now.believedEnded(server)) {
-      reports.addAll(now.clearancesOf(server, sentNanos));
+    if (now.presumedCrashed(server)) {
+      reports.addAll(now.clearancesForServer(server, sentNanos));
     }
     if (!reports.isEmpty()) {
       take(reports, Source.OWN);
@@ -141,7 +141,7 @@
 
   /** Forgets what has been quiet for long. */
   public synchronized void forgetOutdated() {
-    table.set(table.get().withoutOutdated(clocks.nanos()));
+    table.set(table.get().withoutExpired(clocks.nanos()));
   }
 
   private void take(List<CrashReport> reports, Source source) {
@@ -150,7 +150,7 @@
       CrashTable before = table.get();
       CrashTable.Update update = before.with(reports, clocks.nanos());
       table.set(update.table());
-      lesson = new Lesson(update.news(), changes(before, update), source);
+      lesson = new Lesson(update.newReports(), changes(before, update), source);
     }
     if (!lesson.news().isEmpty()) {
       listeners.forEach(listener -> listener.learnt(lesson));
@@ -159,12 +159,12 @@
 
   private static List<Change> changes(CrashTable before, CrashTable.Update update) {
     Set<RequestIdentity> touched = new LinkedHashSet<>();
-    update.news().forEach(report -> touched.add(report.request()));
+    update.newReports().forEach(report -> touched.add(report.request()));
     List<Change> changes = new ArrayList<>();
     for (RequestIdentity request : touched) {
-      SuspicionLevel standing = update.table().standing(request);
-      if (standing != before.standing(request)) {
-        changes.add(new Change(request, standing, update.table().endsUnder(request)));
+      SuspicionLevel standing = update.table().suspicionLevel(request);
+      if (standing != before.suspicionLevel(request)) {
+        changes.add(new Change(request, standing, update.table().serversCrashedDuring(request)));
       }
     }
     return changes;
--- a/core/src/main/java/org/magnoliaswitch/core/process/RequestCrashes.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/RequestCrashes.java
@@ -43,7 +43,7 @@
   public record Identities(RequestIdentity content, RequestIdentity ofCaller) {
     /** What it asks for, by itself and of one caller. */
     public static Identities of(RequestIdentity content, String caller) {
-      return new Identities(content, content.by(caller));
+      return new Identities(content, content.forCaller(caller));
     }
 
     List<RequestIdentity> both() {
@@ -128,7 +128,7 @@
     }
     CrashTable table = watch.table();
     boolean confirmed = identities().both().stream().anyMatch(table::confirmed);
-    boolean suspect = table.standing(identities().ofCaller()) == SuspicionLevel.SUSPECT;
+    boolean suspect = table.suspicionLevel(identities().ofCaller()) == SuspicionLevel.SUSPECT;
     return confirmed || (suspect && !trial);
   }
 
@@ -138,7 +138,7 @@
     long now = clocks.nanos();
     return identities().both().stream()
         .filter(identity -> watch.verdict(identity) != Verdict.ALLOWED)
-        .mapToLong(identity -> table.pausedNanos(identity, now))
+        .mapToLong(identity -> table.nanosUntilTrial(identity, now))
         .reduce(0, Math::max);
   }
 
@@ -189,7 +189,9 @@
   private int suspectedEnds() {
     Set<String> all = new HashSet<>(perhapsEnded);
     if (!watch.quiet()) {
-      identities().both().forEach(identity -> all.addAll(watch.table().endsUnder(identity)));
+      identities()
+          .both()
+          .forEach(identity -> all.addAll(watch.table().serversCrashedDuring(identity)));
     }
     return all.size();
   }
--- a/core/src/test/java/org/magnoliaswitch/core/crash/CrashReplay.java
+++ b/core/src/test/java/org/magnoliaswitch/core/crash/CrashReplay.java
@@ -58,7 +58,7 @@
    */
   private record Request(RequestIdentity content, String caller) {
     List<RequestIdentity> identities() {
-      return List.of(content, content.by(caller));
+      return List.of(content, content.forCaller(caller));
     }
 
     boolean deadly() {
@@ -135,27 +135,27 @@
       for (RequestIdentity identity : identities) {
         if (tables[instance].verdict(identity, nanos()) == Verdict.TRIAL) {
           int trial = tables[instance].trials(identity) + 1;
-          report(instance, new CrashReport.Tried(identity, trial));
+          report(instance, new CrashReport.TrialStarted(identity, trial));
         }
       }
     }
 
     private int ends() {
       return identities.stream()
-          .mapToInt(i -> tables[instance].endsUnder(i).size())
+          .mapToInt(i -> tables[instance].serversCrashedDuring(i).size())
           .max()
           .orElse(0);
     }
 
     boolean stops(boolean warned) {
       CrashTable table = tables[instance];
-      boolean suspect = table.standing(identities.getLast()) == SuspicionLevel.SUSPECT;
+      boolean suspect = table.suspicionLevel(identities.getLast()) == SuspicionLevel.SUSPECT;
       return identities.stream().anyMatch(table::confirmed) || (suspect && !warned);
     }
 
     void broke(Server server, boolean warned) {
       for (RequestIdentity identity : identities) {
-        report(instance, new CrashReport.Ended(identity, server.name, warned));
+        report(instance, new CrashReport.Crashed(identity, server.name, warned));
       }
       if (tried.size() < MAX_SENDS && ends() < 2) {
         send();
@@ -308,7 +308,7 @@
   private void answered(Try of) {
     for (RequestIdentity identity : of.identities) {
       if (tables[of.instance].clearable(identity)) {
-        report(of.instance, tables[of.instance].clearanceOf(identity));
+        report(of.instance, tables[of.instance].clearanceFor(identity));
       }
     }
   }
@@ -333,7 +333,7 @@
 
   private void learn(int instance, CrashReport report) {
     tables[instance] = tables[instance].with(List.of(report), nanos()).table();
-    if (tables[instance].standing(report.request()) != SuspicionLevel.UNSUSPECTED) {
+    if (tables[instance].suspicionLevel(report.request()) != SuspicionLevel.UNSUSPECTED) {
       stopSends(instance, report.request());
     }
   }
--- a/core/src/test/java/org/magnoliaswitch/core/crash/CrashTableTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/crash/CrashTableTest.java
@@ -18,16 +18,16 @@
   private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
   private static final long HOUR = TimeUnit.HOURS.toNanos(1);
 
-  private static CrashReport.Ended ended(String server) {
-    return new CrashReport.Ended(REQUEST, server, false);
+  private static CrashReport.Crashed ended(String server) {
+    return new CrashReport.Crashed(REQUEST, server, false);
   }
 
-  private static CrashReport.Ended warned(String server) {
-    return new CrashReport.Ended(REQUEST, server, true);
+  private static CrashReport.Crashed warned(String server) {
+    return new CrashReport.Crashed(REQUEST, server, true);
   }
 
-  private static CrashReport.Tried tried(int trial) {
-    return new CrashReport.Tried(REQUEST, trial);
+  private static CrashReport.TrialStarted tried(int trial) {
+    return new CrashReport.TrialStarted(REQUEST, trial);
   }
 
   private static CrashReport.Cleared cleared(String... servers) {
@@ -62,7 +62,7 @@
     @Test
     public void aTrialThatEndsItsServerConfirms() {
       CrashTable confirmed = after(ended("a"), ended("b"), tried(1), warned("c"));
-      assertEquals(confirmed.standing(REQUEST), SuspicionLevel.CONFIRMED);
+      assertEquals(confirmed.suspicionLevel(REQUEST), SuspicionLevel.CONFIRMED);
       assertEquals(confirmed.verdict(REQUEST, HOUR - SECOND), Verdict.REFUSED);
     }
 
@@ -76,7 +76,7 @@
       for (int i = 0; i < 8; i++) {
         table = table.with(List.of(ended("s" + i)), 0).table();
       }
-      assertEquals(table.standing(REQUEST), SuspicionLevel.SUSPECT);
+      assertEquals(table.suspicionLevel(REQUEST), SuspicionLevel.SUSPECT);
       assertEquals(table.verdict(REQUEST, 0), Verdict.TRIAL);
     }
 
@@ -84,7 +84,7 @@
     @Test
     public void anAnswerClears() {
       CrashTable cleared = after(ended("a"), ended("b"), tried(1), cleared("a", "b"));
-      assertEquals(cleared.standing(REQUEST), SuspicionLevel.UNSUSPECTED);
+      assertEquals(cleared.suspicionLevel(REQUEST), SuspicionLevel.UNSUSPECTED);
       CrashTable again = cleared.with(List.of(ended("c")), 0).table();
       assertEquals(again.verdict(REQUEST, 0), Verdict.ALLOWED);
     }
@@ -133,8 +133,8 @@
         Collections.shuffle(reports, random);
         CrashTable table = CrashTable.EMPTY.with(reports, 0).table();
         table = table.with(reports.subList(0, random.nextInt(reports.size())), 0).table();
-        assertEquals(table.endsUnder(REQUEST), expected.endsUnder(REQUEST));
-        assertEquals(table.standing(REQUEST), expected.standing(REQUEST));
+        assertEquals(table.serversCrashedDuring(REQUEST), expected.serversCrashedDuring(REQUEST));
+        assertEquals(table.suspicionLevel(REQUEST), expected.suspicionLevel(REQUEST));
         assertEquals(table.trials(REQUEST), expected.trials(REQUEST));
       }
     }
@@ -143,14 +143,14 @@
     @Test
     public void aLateReportOfAClearedEndChangesNothing() {
       CrashTable table = after(cleared("a"));
-      assertEquals(table.with(List.of(ended("a"), ended("a")), 0).news(), List.of());
+      assertEquals(table.with(List.of(ended("a"), ended("a")), 0).newReports(), List.of());
     }
 
     @Test
     public void onlyNewsArePassedOn() {
       CrashTable table = after(ended("a"), tried(1));
       List<CrashReport> reports = List.of(ended("a"), ended("b"), tried(1));
-      assertEquals(table.with(reports, 0).news(), List.of(ended("b")));
+      assertEquals(table.with(reports, 0).newReports(), List.of(ended("b")));
     }
 
     /** A new listener is told everything, and then knows as much. */
@@ -158,8 +158,8 @@
     public void allReportsTogetherMakeTheSameTable() {
       CrashTable table = after(ended("a"), ended("b"), tried(1), warned("c"), cleared("a"));
       CrashTable copy = CrashTable.EMPTY.with(table.reports(), 0).table();
-      assertEquals(copy.endsUnder(REQUEST), table.endsUnder(REQUEST));
-      assertEquals(copy.standing(REQUEST), table.standing(REQUEST));
+      assertEquals(copy.serversCrashedDuring(REQUEST), table.serversCrashedDuring(REQUEST));
+      assertEquals(copy.suspicionLevel(REQUEST), table.suspicionLevel(REQUEST));
       assertTrue(copy.cleared(REQUEST, "a"));
     }
   }
@@ -178,22 +178,22 @@
     public void aFloodOfSingleEndsDoesNotPushACauseOut() {
       CrashTable table = after(ended("a"), ended("b"), tried(1), warned("c"));
       for (int i = 0; i < 3 * CrashTable.MAX_CASES; i++) {
-        List<CrashReport> single = List.of(new CrashReport.Ended(other(i), "s" + i, false));
+        List<CrashReport> single = List.of(new CrashReport.Crashed(other(i), "s" + i, false));
         table = table.with(single, i + 1).table();
       }
-      assertEquals(table.standing(REQUEST), SuspicionLevel.CONFIRMED);
-      assertEquals(table.endsUnder(other(0)), Set.of());
+      assertEquals(table.suspicionLevel(REQUEST), SuspicionLevel.CONFIRMED);
+      assertEquals(table.serversCrashedDuring(other(0)), Set.of());
       assertEquals(table.count(SuspicionLevel.UNSUSPECTED), CrashTable.MAX_CASES - 1);
     }
 
     @Test
     public void whatHasBeenQuietIsForgotten() {
       CrashTable single = after(ended("a"));
-      assertFalse(single.withoutOutdated(TimeUnit.MINUTES.toNanos(9)).isEmpty());
-      assertTrue(single.withoutOutdated(TimeUnit.MINUTES.toNanos(11)).isEmpty());
+      assertFalse(single.withoutExpired(TimeUnit.MINUTES.toNanos(9)).isEmpty());
+      assertTrue(single.withoutExpired(TimeUnit.MINUTES.toNanos(11)).isEmpty());
       CrashTable confirmed = after(ended("a"), ended("b"), tried(1), warned("c"));
-      assertFalse(confirmed.withoutOutdated(23 * HOUR).isEmpty());
-      assertTrue(confirmed.withoutOutdated(25 * HOUR).isEmpty());
+      assertFalse(confirmed.withoutExpired(23 * HOUR).isEmpty());
+      assertTrue(confirmed.withoutExpired(25 * HOUR).isEmpty());
     }
 
     /** Somebody clears and ends again and again: sets stay small, and the last word counts. */
@@ -204,7 +204,7 @@
         table = table.with(List.of(ended("s" + i), cleared("s" + i)), 0).table();
       }
       assertTrue(table.reports().size() <= 2);
-      assertEquals(table.endsUnder(REQUEST), Set.of());
+      assertEquals(table.serversCrashedDuring(REQUEST), Set.of());
       assertTrue(table.cleared(REQUEST, "s99"));
     }
   }
@@ -213,8 +213,8 @@
   public static final class Causes {
     private static final RequestIdentity BYSTANDER = new RequestIdentity(3, 4);
 
-    private static CrashReport.Ended beside(String server, boolean warned) {
-      return new CrashReport.Ended(BYSTANDER, server, warned);
+    private static CrashReport.Crashed beside(String server, boolean warned) {
+      return new CrashReport.Crashed(BYSTANDER, server, warned);
     }
 
     /**
@@ -233,8 +233,8 @@
               beside("b", false),
               beside("c", false),
               beside("d", true));
-      assertEquals(table.standing(REQUEST), SuspicionLevel.CONFIRMED);
-      assertEquals(table.standing(BYSTANDER), SuspicionLevel.UNSUSPECTED);
+      assertEquals(table.suspicionLevel(REQUEST), SuspicionLevel.CONFIRMED);
+      assertEquals(table.suspicionLevel(BYSTANDER), SuspicionLevel.UNSUSPECTED);
       assertEquals(table.verdict(BYSTANDER, 0), Verdict.ALLOWED);
     }
 
@@ -246,21 +246,22 @@
     @Test
     public void oneCallerHasNobodyElseTurnedAway() {
       RequestIdentity content = RequestIdentity.ofContent("GET", "h", "/a", new byte[0]);
-      RequestIdentity one = content.by("10.0.0.1");
-      RequestIdentity other = content.by("10.0.0.2");
+      RequestIdentity one = content.forCaller("10.0.0.1");
+      RequestIdentity other = content.forCaller("10.0.0.2");
       CrashTable table = CrashTable.EMPTY;
       for (String server : List.of("a", "b", "c")) {
         List<CrashReport> reports =
             List.of(
-                new CrashReport.Ended(content, server, server.equals("c")),
-                new CrashReport.Ended(one, server, server.equals("c")));
+                new CrashReport.Crashed(content, server, server.equals("c")),
+                new CrashReport.Crashed(one, server, server.equals("c")));
         table = table.with(reports, 0).table();
       }
       assertEquals(table.verdict(one, 0), Verdict.REFUSED);
       assertEquals(table.verdict(content, 0), Verdict.ALLOWED);
       List<CrashReport> fourth =
           List.of(
-              new CrashReport.Ended(content, "d", false), new CrashReport.Ended(other, "d", false));
+              new CrashReport.Crashed(content, "d", false),
+              new CrashReport.Crashed(other, "d", false));
       table = table.with(fourth, 0).table();
       assertEquals(table.verdict(content, 0), Verdict.REFUSED);
     }
@@ -278,8 +279,8 @@
               beside("x", false),
               beside("y", false),
               beside("z", true));
-      assertEquals(table.standing(REQUEST), SuspicionLevel.CONFIRMED);
-      assertEquals(table.standing(BYSTANDER), SuspicionLevel.CONFIRMED);
+      assertEquals(table.suspicionLevel(REQUEST), SuspicionLevel.CONFIRMED);
+      assertEquals(table.suspicionLevel(BYSTANDER), SuspicionLevel.CONFIRMED);
     }
   }
 
@@ -292,16 +293,16 @@
     @Test
     public void aServerThatAnswersHasNotEnded() {
       CrashTable table = after(ended("a"), ended("b"));
-      assertTrue(table.believedEnded("a"));
-      CrashTable lives = table.with(table.clearancesOf("a", SECOND), SECOND).table();
-      assertEquals(lives.endsUnder(REQUEST), Set.of("b"));
+      assertTrue(table.presumedCrashed("a"));
+      CrashTable lives = table.with(table.clearancesForServer("a", SECOND), SECOND).table();
+      assertEquals(lives.serversCrashedDuring(REQUEST), Set.of("b"));
     }
 
     /** An answer to what was sent before the end says nothing: it was made before. */
     @Test
     public void anAnswerFromBeforeTheEndClearsNothing() {
       CrashTable table = CrashTable.EMPTY.with(List.of(ended("a")), SECOND).table();
-      assertEquals(table.clearancesOf("a", SECOND - 1), List.of());
+      assertEquals(table.clearancesForServer("a", SECOND - 1), List.of());
     }
   }
 }
--- a/core/src/test/java/org/magnoliaswitch/core/crash/RequestIdentityTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/crash/RequestIdentityTest.java
@@ -13,7 +13,7 @@
   private static final byte[] BODY = {1, 2, 3};
 
   private static RequestIdentity read(String target, String caller) {
-    return RequestIdentity.ofContent("GET", "h", target, BODY).by(caller);
+    return RequestIdentity.ofContent("GET", "h", target, BODY).forCaller(caller);
   }
 
   @Test
@@ -26,9 +26,10 @@
     RequestIdentity one = read("/a", "10.0.0.1");
     assertNotEquals(read("/a?", "10.0.0.1"), one);
     assertNotEquals(read("/a", "10.0.0.2"), one);
-    assertNotEquals(RequestIdentity.ofContent("PUT", "h", "/a", BODY).by("10.0.0.1"), one);
-    assertNotEquals(RequestIdentity.ofContent("GET", "g", "/a", BODY).by("10.0.0.1"), one);
-    assertNotEquals(RequestIdentity.ofContent("GET", "h", "/a", new byte[0]).by("10.0.0.1"), one);
+    assertNotEquals(RequestIdentity.ofContent("PUT", "h", "/a", BODY).forCaller("10.0.0.1"), one);
+    assertNotEquals(RequestIdentity.ofContent("GET", "g", "/a", BODY).forCaller("10.0.0.1"), one);
+    assertNotEquals(
+        RequestIdentity.ofContent("GET", "h", "/a", new byte[0]).forCaller("10.0.0.1"), one);
   }
 
   /** Parts are written with their lengths: a path that ends with a caller's address is no match. */
@@ -54,8 +55,8 @@
   @Test
   public void itTellsWhetherItsCallerCounts() {
     RequestIdentity content = RequestIdentity.ofContent("GET", "h", "/a", BODY);
-    assertFalse(content.ofOneCaller());
-    assertTrue(content.by("10.0.0.1").ofOneCaller());
+    assertFalse(content.callerSpecific());
+    assertTrue(content.forCaller("10.0.0.1").callerSpecific());
   }
 
   @Test
--- a/core/src/test/java/org/magnoliaswitch/core/process/CrashWatchTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/CrashWatchTest.java
@@ -42,7 +42,7 @@
     CrashWatch watch = watch();
     watch.ended(List.of(REQUEST), "a", false);
     watch.ended(List.of(REQUEST), "a", false);
-    assertEquals(told, List.of(new CrashReport.Ended(REQUEST, "a", false)));
+    assertEquals(told, List.of(new CrashReport.Crashed(REQUEST, "a", false)));
   }
 
   /** Two instances get a suspect at once; the one that hears of the other's trial makes none. */
@@ -52,7 +52,7 @@
     watch.ended(List.of(REQUEST), "a", false);
     watch.ended(List.of(REQUEST), "b", false);
     assertEquals(watch.verdict(REQUEST), Verdict.TRIAL);
-    watch.heard(List.of(new CrashReport.Tried(REQUEST, 1)), CrashWatch.Source.PEER);
+    watch.heard(List.of(new CrashReport.TrialStarted(REQUEST, 1)), CrashWatch.Source.PEER);
     assertEquals(watch.verdict(REQUEST), Verdict.WAIT);
   }
 
@@ -87,10 +87,10 @@
     watch.ended(List.of(REQUEST), "a", false);
     long sentBefore = nowNanos - 1;
     watch.answered(List.of(new RequestIdentity(3, 4)), "a", sentBefore);
-    assertEquals(watch.table().endsUnder(REQUEST), Set.of("a"));
+    assertEquals(watch.table().serversCrashedDuring(REQUEST), Set.of("a"));
     nowNanos++;
     watch.answered(List.of(new RequestIdentity(3, 4)), "a", nowNanos);
-    assertEquals(watch.table().endsUnder(REQUEST), Set.of());
+    assertEquals(watch.table().serversCrashedDuring(REQUEST), Set.of());
   }
 
   @Test
--- a/core/src/test/java/org/magnoliaswitch/core/process/RequestCrashesTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/RequestCrashesTest.java
@@ -26,8 +26,8 @@
     watch = new CrashWatch(time.clocks());
     watch.heard(
         List.of(
-            new CrashReport.Ended(REQUEST, "a@0", false),
-            new CrashReport.Ended(REQUEST, "b@0", false)),
+            new CrashReport.Crashed(REQUEST, "a@0", false),
+            new CrashReport.Crashed(REQUEST, "b@0", false)),
         CrashWatch.Source.PEER);
   }
 
@@ -50,10 +50,10 @@
     RequestCrashes request = request(NOTICE);
     assertEquals(request.admit(), Verdict.WAIT);
     time.advance(Duration.ofMillis(10));
-    watch.heard(List.of(new CrashReport.Tried(REQUEST, 1)), CrashWatch.Source.PEER);
+    watch.heard(List.of(new CrashReport.TrialStarted(REQUEST, 1)), CrashWatch.Source.PEER);
     time.advance(NOTICE);
     assertEquals(request.admit(), Verdict.WAIT);
-    watch.heard(List.of(new CrashReport.Ended(REQUEST, "c@0", true)), CrashWatch.Source.PEER);
+    watch.heard(List.of(new CrashReport.Crashed(REQUEST, "c@0", true)), CrashWatch.Source.PEER);
     assertEquals(request.admit(), Verdict.REFUSED);
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/process/CrashArchive.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/CrashArchive.java
@@ -57,7 +57,7 @@
 
   /** One end, whoever reported it. */
   private record End(RequestIdentity request, String server) {
-    static End of(CrashReport.Ended ended) {
+    static End of(CrashReport.Crashed ended) {
       return new End(ended.request(), ended.server());
     }
   }
@@ -80,9 +80,10 @@
   /** Takes reports of this instance. */
   void own(List<CrashReport> reports) {
     for (CrashReport report : reports) {
-      if (report instanceof CrashReport.Ended ended && pending.size() < MAX_PENDING) {
+      if (report instanceof CrashReport.Crashed ended && pending.size() < MAX_PENDING) {
         pending.add(End.of(ended));
-        boolean suspect = watch.table().standing(ended.request()) != SuspicionLevel.UNSUSPECTED;
+        boolean suspect =
+            watch.table().suspicionLevel(ended.request()) != SuspicionLevel.UNSUSPECTED;
         loop.afterMillis(suspect ? 0 : WRITE_DELAY_MILLIS, this::write);
       }
     }
@@ -116,10 +117,10 @@
   private void take(List<CrashStore.Kept> rows) {
     long now = clocks.millis();
     List<CrashReport> counting = new ArrayList<>();
-    List<CrashReport.Ended> outdated = new ArrayList<>();
+    List<CrashReport.Crashed> outdated = new ArrayList<>();
     Set<End> foundNow = new HashSet<>();
     for (CrashStore.Kept row : rows) {
-      CrashReport.Ended ended = row.ended();
+      CrashReport.Crashed ended = row.ended();
       boolean old = now - row.epochMillis() > MAX_AGE_MILLIS;
       if (old || watch.table().cleared(ended.request(), ended.server())) {
         outdated.add(ended);
@@ -142,25 +143,25 @@
   private List<CrashReport> lifted(Set<End> foundNow) {
     Set<RequestIdentity> gone = new HashSet<>();
     for (End end : found) {
-      boolean counts = watch.table().end(end.request(), end.server()).isPresent();
+      boolean counts = watch.table().crash(end.request(), end.server()).isPresent();
       if (!foundNow.contains(end) && counts) {
         gone.add(end.request());
       }
     }
-    return gone.stream().map(watch.table()::clearanceOf).toList();
+    return gone.stream().map(watch.table()::clearanceFor).toList();
   }
 
   private void write() {
-    List<CrashReport.Ended> puts = writing ? List.of() : stillCounting();
+    List<CrashReport.Crashed> puts = writing ? List.of() : stillCounting();
     if (!puts.isEmpty()) {
       change(puts, List.of());
     }
   }
 
-  private List<CrashReport.Ended> stillCounting() {
-    List<CrashReport.Ended> puts = new ArrayList<>();
+  private List<CrashReport.Crashed> stillCounting() {
+    List<CrashReport.Crashed> puts = new ArrayList<>();
     for (End end : List.copyOf(pending)) {
-      Optional<CrashReport.Ended> counts = watch.table().end(end.request(), end.server());
+      Optional<CrashReport.Crashed> counts = watch.table().crash(end.request(), end.server());
       if (counts.isEmpty()) {
         pending.remove(end);
       } else if (puts.size() < MAX_ENTRIES) {
@@ -170,13 +171,13 @@
     return puts;
   }
 
-  private void change(List<CrashReport.Ended> puts, List<CrashReport.Ended> removals) {
+  private void change(List<CrashReport.Crashed> puts, List<CrashReport.Crashed> removals) {
     writing = true;
     store.change(puts, removals, confirmed -> changed(puts, removals, confirmed));
   }
 
   private void changed(
-      List<CrashReport.Ended> puts, List<CrashReport.Ended> removals, boolean confirmed) {
+      List<CrashReport.Crashed> puts, List<CrashReport.Crashed> removals, boolean confirmed) {
     writing = false;
     metrics.count("crash.store.calls", "", confirmed ? "confirmed" : "unconfirmed");
     log.belief("crash_archived")
--- a/front/src/main/java/org/magnoliaswitch/front/process/CrashStore.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/CrashStore.java
@@ -20,8 +20,8 @@
 
         @Override
         public void change(
-            Collection<CrashReport.Ended> puts,
-            Collection<CrashReport.Ended> removals,
+            Collection<CrashReport.Crashed> puts,
+            Collection<CrashReport.Crashed> removals,
             Consumer<Boolean> done) {
           done.accept(true);
         }
@@ -32,7 +32,7 @@
    *
    * @param epochMillis when it was written, by the writer's time of day
    */
-  record Kept(CrashReport.Ended ended, long epochMillis) {}
+  record Kept(CrashReport.Crashed ended, long epochMillis) {}
 
   /** Reads all that is kept. */
   void read(Consumer<NewsSource.Read<List<Kept>>> listener);
@@ -42,7 +42,7 @@
    * confirmed may have been done, and may be asked for again.
    */
   void change(
-      Collection<CrashReport.Ended> puts,
-      Collection<CrashReport.Ended> removals,
+      Collection<CrashReport.Crashed> puts,
+      Collection<CrashReport.Crashed> removals,
       Consumer<Boolean> done);
 }
--- a/front/src/test/java/org/magnoliaswitch/front/peer/PeerNewsCodecTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/PeerNewsCodecTest.java
@@ -33,9 +33,9 @@
   private static final RequestIdentity REQUEST = new RequestIdentity(1, -2);
   private static final List<CrashReport> REPORTS =
       List.of(
-          new CrashReport.Ended(REQUEST, "i@7", true),
+          new CrashReport.Crashed(REQUEST, "i@7", true),
           new CrashReport.Cleared(REQUEST, Set.of("i@7", "j@0"), 2),
-          new CrashReport.Tried(REQUEST, 3));
+          new CrashReport.TrialStarted(REQUEST, 3));
   private static final PeerNews NEWS =
       new PeerNews(
           17,
@@ -91,7 +91,7 @@
     PeerNews earlier = PeerNewsCodec.decode(Arrays.copyOf(all, start + reports.length));
     assertEquals(earlier.crashes(), REPORTS);
     assertFalse(earlier.evacuations().known());
-    byte[] later = CrashReportCodec.encode(List.of(new CrashReport.Tried(REQUEST, 3)));
+    byte[] later = CrashReportCodec.encode(List.of(new CrashReport.TrialStarted(REQUEST, 3)));
     int kind = 3;
     assertEquals(later[kind], 3);
     later[kind] = 99;
--- a/front/src/test/java/org/magnoliaswitch/front/peer/RouteUpdateCodecTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/RouteUpdateCodecTest.java
@@ -102,7 +102,7 @@
   /** What a listener tells. */
   public static final class OfListeners {
     private static final List<CrashReport> REPORTS =
-        List.of(new CrashReport.Tried(new RequestIdentity(1, -2), 3));
+        List.of(new CrashReport.TrialStarted(new RequestIdentity(1, -2), 3));
     private static final ListenerNews NEWS =
         new ListenerNews(
             REPORTS,
--- a/front/src/test/java/org/magnoliaswitch/front/process/CrashArchiveTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/CrashArchiveTest.java
@@ -33,8 +33,8 @@
   /** A store that a test fills and looks into. */
   private static final class Store implements CrashStore {
     private final List<Kept> rows = new ArrayList<>();
-    private final BlockingQueue<List<CrashReport.Ended>> puts = new LinkedBlockingQueue<>();
-    private final BlockingQueue<List<CrashReport.Ended>> removals = new LinkedBlockingQueue<>();
+    private final BlockingQueue<List<CrashReport.Crashed>> puts = new LinkedBlockingQueue<>();
+    private final BlockingQueue<List<CrashReport.Crashed>> removals = new LinkedBlockingQueue<>();
     private final AtomicBoolean confirms = new AtomicBoolean(true);
 
     @Override
@@ -44,8 +44,8 @@
 
     @Override
     public void change(
-        Collection<CrashReport.Ended> added,
-        Collection<CrashReport.Ended> removed,
+        Collection<CrashReport.Crashed> added,
+        Collection<CrashReport.Crashed> removed,
         Consumer<Boolean> done) {
       // Whoever takes the puts may change the answer at once: this call has the one before.
       boolean confirmed = confirms.get();
@@ -76,8 +76,8 @@
     environment.loop().stop();
   }
 
-  private static CrashReport.Ended ended(String server) {
-    return new CrashReport.Ended(REQUEST, server, false);
+  private static CrashReport.Crashed ended(String server) {
+    return new CrashReport.Crashed(REQUEST, server, false);
   }
 
   private void onLoop(Runnable task) throws InterruptedException {
@@ -87,7 +87,7 @@
     done.await();
   }
 
-  private void sees(CrashReport.Ended... reports) throws InterruptedException {
+  private void sees(CrashReport.Crashed... reports) throws InterruptedException {
     onLoop(
         () -> {
           environment.crashes().heard(List.of(reports), CrashWatch.Source.OWN);
@@ -95,7 +95,7 @@
         });
   }
 
-  private CrashStore.Kept now(CrashReport.Ended ended) {
+  private CrashStore.Kept now(CrashReport.Crashed ended) {
     return new CrashStore.Kept(ended, environment.clocks().millis());
   }
 
@@ -111,7 +111,7 @@
     sees(ended("a"));
     environment.crashes().answered(List.of(REQUEST), "b", environment.clocks().nanos());
     RequestIdentity other = new RequestIdentity(3, 4);
-    CrashReport.Ended later = new CrashReport.Ended(other, "c", false);
+    CrashReport.Crashed later = new CrashReport.Crashed(other, "c", false);
     sees(later);
     assertEquals(store.puts.take(), List.of(later));
   }
@@ -121,7 +121,7 @@
   public void whatWasNotConfirmedIsWrittenAgain() throws InterruptedException {
     store.confirms.set(false);
     sees(ended("a"), ended("b"));
-    List<CrashReport.Ended> first = store.puts.take();
+    List<CrashReport.Crashed> first = store.puts.take();
     store.confirms.set(true);
     assertEquals(store.puts.take(), first);
   }
@@ -131,9 +131,9 @@
   public void aStartedInstanceLearnsFromTheStore() throws InterruptedException {
     store.rows.add(now(ended("a")));
     store.rows.add(now(ended("b")));
-    store.rows.add(now(new CrashReport.Ended(REQUEST, "c", true)));
+    store.rows.add(now(new CrashReport.Crashed(REQUEST, "c", true)));
     onLoop(() -> archive.read());
-    assertEquals(environment.crashes().table().standing(REQUEST), SuspicionLevel.CONFIRMED);
+    assertEquals(environment.crashes().table().suspicionLevel(REQUEST), SuspicionLevel.CONFIRMED);
   }
 
   /** An operator removes the rows of a request, since its servers are mended. */
@@ -144,7 +144,7 @@
     onLoop(() -> archive.read());
     store.rows.clear();
     onLoop(() -> archive.read());
-    assertEquals(environment.crashes().table().endsUnder(REQUEST), Set.of());
+    assertEquals(environment.crashes().table().serversCrashedDuring(REQUEST), Set.of());
   }
 
   /**
@@ -156,19 +156,19 @@
     sees(ended("a"), ended("b"));
     assertTrue(store.puts.take().size() > 0);
     onLoop(() -> archive.read());
-    assertEquals(environment.crashes().table().endsUnder(REQUEST), Set.of("a", "b"));
+    assertEquals(environment.crashes().table().serversCrashedDuring(REQUEST), Set.of("a", "b"));
   }
 
   @Test
   public void clearedAndOldRowsAreRemoved() throws InterruptedException {
     sees(ended("a"), ended("b"));
     environment.crashes().answered(List.of(REQUEST), "c", environment.clocks().nanos());
-    CrashReport.Ended old = new CrashReport.Ended(new RequestIdentity(5, 6), "d", false);
+    CrashReport.Crashed old = new CrashReport.Crashed(new RequestIdentity(5, 6), "d", false);
     long yesterday = environment.clocks().millis() - TimeUnit.DAYS.toMillis(1) - 1;
     store.rows.add(now(ended("a")));
     store.rows.add(new CrashStore.Kept(old, yesterday));
     onLoop(() -> archive.read());
     assertEquals(store.removals.take(), List.of(ended("a"), old));
-    assertEquals(environment.crashes().table().endsUnder(old.request()), Set.of());
+    assertEquals(environment.crashes().table().serversCrashedDuring(old.request()), Set.of());
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/request/CrashingRequestTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/CrashingRequestTest.java
@@ -161,13 +161,15 @@
     private static final Route READ = route(true);
     private static final Route ONCE = route(false);
     private static final RequestIdentity IDENTITY = request(0).identity();
-    private static final RequestIdentity OF_CALLER = IDENTITY.by("127.0.0.1");
+    private static final RequestIdentity OF_CALLER = IDENTITY.forCaller("127.0.0.1");
     private static final List<CrashReport> TWO_ENDS =
         List.of(
-            new CrashReport.Ended(IDENTITY, "x@0", false),
-            new CrashReport.Ended(IDENTITY, "y@0", false));
+            new CrashReport.Crashed(IDENTITY, "x@0", false),
+            new CrashReport.Crashed(IDENTITY, "y@0", false));
     private static final List<CrashReport> TRIAL_ENDED =
-        List.of(new CrashReport.Tried(IDENTITY, 1), new CrashReport.Ended(IDENTITY, "z@0", true));
+        List.of(
+            new CrashReport.TrialStarted(IDENTITY, 1),
+            new CrashReport.Crashed(IDENTITY, "z@0", true));
 
     private static Route route(boolean idempotent) {
       long minute = TimeUnit.MINUTES.toNanos(1);
@@ -224,7 +226,7 @@
         environment.crashes().heard(TWO_ENDS, CrashWatch.Source.PEER);
         holding.released.countDown();
         assertEquals(answer.join().status().code(), 200);
-        assertEquals(environment.crashes().table().endsUnder(IDENTITY), Set.of());
+        assertEquals(environment.crashes().table().serversCrashedDuring(IDENTITY), Set.of());
         environment.loop().stop();
       }
     }
@@ -242,8 +244,8 @@
         holding.arrived.acquire();
         List<CrashReport> twoEnds =
             List.of(
-                new CrashReport.Ended(OF_CALLER, "x@0", false),
-                new CrashReport.Ended(OF_CALLER, "y@0", false));
+                new CrashReport.Crashed(OF_CALLER, "x@0", false),
+                new CrashReport.Crashed(OF_CALLER, "y@0", false));
         environment.crashes().heard(twoEnds, CrashWatch.Source.PEER);
         assertEquals(answer.join().status().code(), 502);
         holding.released.countDown();
@@ -301,7 +303,7 @@
         environment.crashes().heard(TWO_ENDS, CrashWatch.Source.PEER);
         environment
             .crashes()
-            .heard(List.of(new CrashReport.Tried(IDENTITY, 1)), CrashWatch.Source.PEER);
+            .heard(List.of(new CrashReport.TrialStarted(IDENTITY, 1)), CrashWatch.Source.PEER);
         CompletableFuture<CallerAnswer> answer = ask(environment, new FrontDispatcher(environment));
         environment.crashes().heard(TRIAL_ENDED, CrashWatch.Source.PEER);
         assertEquals(answer.join().status().code(), 503);
