--- a/bench/src/main/java/org/magnoliaswitch/bench/model/FrontNode.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/FrontNode.java
@@ -13,12 +13,12 @@
 import org.magnoliaswitch.front.load.Placement;
 import org.magnoliaswitch.front.load.PlacementContext;
 import org.magnoliaswitch.front.load.ProbeShare;
-import org.magnoliaswitch.front.load.RateLimit;
 import org.magnoliaswitch.front.load.ServerState;
 import org.magnoliaswitch.front.load.ServerSubset;
 import org.magnoliaswitch.front.load.ServiceLoad;
 import org.magnoliaswitch.front.load.SharedRetryBudget;
 import org.magnoliaswitch.front.load.Timeliness;
+import org.magnoliaswitch.front.load.TokenBucket;
 import org.magnoliaswitch.front.process.RouteState;
 
 /** What one instance knows, with the front's own classes. */
@@ -35,7 +35,7 @@
   private final Map<String, List<ServerState>> states = new HashMap<>();
   private final Set<ServerState> unreachable = new HashSet<>();
   private final Map<ServerState, ModelServer> models = new HashMap<>();
-  private final Map<ServerState, RateLimit> probes = new HashMap<>();
+  private final Map<ServerState, TokenBucket> probes = new HashMap<>();
   private final Map<ServerState, ModelPool> pools = new HashMap<>();
   private final PendingQueue<FrontExchange> pending;
 
@@ -65,7 +65,7 @@
     ServerState state = new ServerState(model.entry(), world.time().nanos());
     models.put(state, model);
     pools.put(state, new ModelPool(state, world));
-    probes.put(state, new RateLimit(PROBE_BURST, world.time().nanos()));
+    probes.put(state, new TokenBucket(PROBE_BURST, world.time().nanos()));
     return state;
   }
 
@@ -147,7 +147,7 @@
     double perSecond =
         ProbeShare.perSecond(
             world.deployment().probesPerServer(), world.deployment().instances(), part);
-    return probes.get(state).take(perSecond, world.time().nanos());
+    return probes.get(state).tryTake(perSecond, world.time().nanos());
   }
 
   /** Takes what a health check or a rejection tells. */
--- a/front/src/main/java/org/magnoliaswitch/front/load/ColdShare.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/ColdShare.java
@@ -16,9 +16,9 @@
  *
  * <p>Who sends is drawn for each server's incarnation ({@link SenderSelection}).
  *
- * @param mostPerSecond sends of this instance to the server in any second; 0 if it may not send
+ * @param maxPerSecond sends of this instance to the server in any second; 0 if it may not send
  */
-public record ColdShare(int mostPerSecond) {
+public record ColdShare(int maxPerSecond) {
   /** Part of the slack that is planned with; the rest covers a wrong count of instances. */
   private static final double SLACK_SHARE = 0.5;
 
--- a/front/src/main/java/org/magnoliaswitch/front/load/RateLimitShare.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/RateLimitShare.java
@@ -12,11 +12,11 @@
  * <p>Each instance gets an even part of a span's requests; instances that are drawn for the server
  * share what is left of the division. In a span of a second most would have no part.
  *
- * @param mostInSpan sends of this instance to the server in any span of {@link #SPAN_NANOS}
+ * @param maxPerWindow sends of this instance to the server in any span of {@link #SPAN_NANOS}
  */
-public record RateLimitShare(int mostInSpan) {
+public record RateLimitShare(int maxPerWindow) {
   /** Span over which the limit is kept. */
-  public static final long SPAN_NANOS = TimeUnit.SECONDS.toNanos(4);
+  public static final long WINDOW_NANOS = TimeUnit.SECONDS.toNanos(4);
 
   private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
@@ -30,7 +30,7 @@
    * @param part share of the service's servers that each instance sends to
    */
   public static RateLimitShare of(double perSecond, SenderSelection selection, double part) {
-    double planned = perSecond * SPAN_NANOS / NANOS_PER_SECOND;
+    double planned = perSecond * WINDOW_NANOS / NANOS_PER_SECOND;
     double senders = Math.max(1, selection.candidates() * Math.min(1, PART_MARGIN * part));
     double even = planned / senders;
     int whole = (int) even;
--- a/front/src/main/java/org/magnoliaswitch/front/load/ServerState.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/ServerState.java
@@ -63,7 +63,7 @@
   private boolean gone;
   private boolean evacuated;
   private boolean coldnessTold = true;
-  private final SendWindow written = new SendWindow(RateLimitShare.SPAN_NANOS);
+  private final SendWindow written = new SendWindow(RateLimitShare.WINDOW_NANOS);
   private final Backpressure backpressure;
 
   public ServerState(ServerEntry entry, long nowNanos) {
@@ -120,14 +120,14 @@
 
   /** Whether it is warm, or got less in the last second than a share allows. */
   public boolean bears(ColdShare share, long nowNanos) {
-    return !cold(nowNanos) || written.size(SECOND_NANOS, nowNanos) < share.mostPerSecond();
+    return !cold(nowNanos) || written.size(SECOND_NANOS, nowNanos) < share.maxPerSecond();
   }
 
   /** Time until it may get a request as far as a share of its rate limit decides it; 0 for now. */
   public long waitNanos(RateLimitShare share, long nowNanos) {
-    return share.mostInSpan() == 0
+    return share.maxPerWindow() == 0
         ? NEVER
-        : written.untilFewerThan(share.mostInSpan(), RateLimitShare.SPAN_NANOS, nowNanos);
+        : written.untilFewerThan(share.maxPerWindow(), RateLimitShare.WINDOW_NANOS, nowNanos);
   }
 
   /** What it asks of its callers. */
--- a/front/src/main/java/org/magnoliaswitch/front/load/RateLimit.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/TokenBucket.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** A token bucket; used by one thread only. */
-public final class RateLimit {
+public final class TokenBucket {
   private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
   private final double burst;
@@ -15,7 +15,7 @@
    *
    * @param burst most tokens that are kept
    */
-  public RateLimit(double burst, long nowNanos) {
+  public TokenBucket(double burst, long nowNanos) {
     this.burst = burst;
     this.tokens = burst;
     this.lastNanos = nowNanos;
@@ -26,9 +26,9 @@
    *
    * @param perSecond tokens that come back each second
    */
-  public boolean take(double perSecond, long nowNanos) {
-    double earned = perSecond * (nowNanos - lastNanos) / NANOS_PER_SECOND;
-    tokens = Math.min(burst, tokens + earned);
+  public boolean tryTake(double perSecond, long nowNanos) {
+    double refilled = perSecond * (nowNanos - lastNanos) / NANOS_PER_SECOND;
+    tokens = Math.min(burst, tokens + refilled);
     lastNanos = nowNanos;
     if (tokens < 1) {
       return false;
--- a/front/src/main/java/org/magnoliaswitch/front/process/ColdSends.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ColdSends.java
@@ -38,7 +38,7 @@
 
   /** Whether this instance is one of those that send to a server while it is cold. */
   public boolean drawn(ServerState server) {
-    return share(server).mostPerSecond() > 0;
+    return share(server).maxPerSecond() > 0;
   }
 
   /** Whether a request may be sent to a server now, as far as its caches decide it. */
--- a/front/src/main/java/org/magnoliaswitch/front/process/EventLog.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/EventLog.java
@@ -4,7 +4,7 @@
 import java.util.regex.Pattern;
 import org.jspecify.annotations.Nullable;
 import org.magnoliaswitch.core.clock.Clocks;
-import org.magnoliaswitch.front.load.RateLimit;
+import org.magnoliaswitch.front.load.TokenBucket;
 
 /**
  * One line of key=value pairs for each decision that touches a request or changes a belief.
@@ -27,14 +27,14 @@
   private static final Line DROPPED = new Line(null);
 
   private final Clocks clocks;
-  private final RateLimit successes;
-  private final RateLimit failures;
+  private final TokenBucket successes;
+  private final TokenBucket failures;
   private long dropped;
 
   public EventLog(Clocks clocks) {
     this.clocks = clocks;
-    this.successes = new RateLimit(SUCCESS_LINES_PER_SECOND, clocks.nanos());
-    this.failures = new RateLimit(FAILURE_LINES_PER_SECOND, clocks.nanos());
+    this.successes = new TokenBucket(SUCCESS_LINES_PER_SECOND, clocks.nanos());
+    this.failures = new TokenBucket(FAILURE_LINES_PER_SECOND, clocks.nanos());
   }
 
   /** A line that is being put together; it goes out with {@link #write}. */
@@ -111,8 +111,8 @@
     return line(failures, FAILURE_LINES_PER_SECOND, event);
   }
 
-  private synchronized Line line(RateLimit limit, double perSecond, String event) {
-    if (!limit.take(perSecond, clocks.nanos())) {
+  private synchronized Line line(TokenBucket limit, double perSecond, String event) {
+    if (!limit.tryTake(perSecond, clocks.nanos())) {
       dropped++;
       return DROPPED;
     }
--- a/front/src/main/java/org/magnoliaswitch/front/process/SendQuotas.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/SendQuotas.java
@@ -84,7 +84,7 @@
   private RateLimitShare share(ServerState server, double perSecond) {
     RateLimitShare share = shares.of(limit(server, perSecond));
     boolean unheard = server.backpressure().limitAgeNanos(clocks.nanos()) > LIMIT_TRIAL_NANOS;
-    return unheard && share.mostInSpan() == 0 ? TRIAL : share;
+    return unheard && share.maxPerWindow() == 0 ? TRIAL : share;
   }
 
   private Limit limit(ServerState server, double perSecond) {
--- a/front/src/main/java/org/magnoliaswitch/front/request/Probes.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Probes.java
@@ -17,8 +17,8 @@
 import org.magnoliaswitch.front.connection.ServerReply;
 import org.magnoliaswitch.front.load.LoadSample;
 import org.magnoliaswitch.front.load.ProbeShare;
-import org.magnoliaswitch.front.load.RateLimit;
 import org.magnoliaswitch.front.load.ServerState;
+import org.magnoliaswitch.front.load.TokenBucket;
 import org.magnoliaswitch.front.process.Environment;
 
 /**
@@ -48,7 +48,7 @@
   private static final String MILLIS = "[0-9]{1,9}([.][0-9]{1,9})?";
 
   private final Environment environment;
-  private final Map<ServerState, RateLimit> limits = new WeakHashMap<>();
+  private final Map<ServerState, TokenBucket> limits = new WeakHashMap<>();
 
   Probes(Environment environment) {
     this.environment = environment;
@@ -81,8 +81,8 @@
             environment.instances().count(),
             environment.servers().part(pool.state().entry().service()));
     return limits
-        .computeIfAbsent(pool.state(), server -> new RateLimit(BURST, now))
-        .take(perSecond, now);
+        .computeIfAbsent(pool.state(), server -> new TokenBucket(BURST, now))
+        .tryTake(perSecond, now);
   }
 
   /** Whether a server may be checked now; asked again once a connection for the check is open. */
--- a/front/src/test/java/org/magnoliaswitch/front/load/ColdShareTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/ColdShareTest.java
@@ -31,7 +31,7 @@
     for (int i = 0; i < instances; i++) {
       sum +=
           ColdShare.of(WARMUP, BOUNDS, new SenderSelection("front-" + i, server, believed, NOWHERE))
-              .mostPerSecond();
+              .maxPerSecond();
     }
     return sum;
   }
@@ -81,7 +81,7 @@
   public void aServiceThatDeclaresNothingIsNotLimited() {
     ColdShare share =
         ColdShare.of(Warmup.UNLIMITED, BOUNDS, new SenderSelection("a", "i@0", 100, NOWHERE));
-    assertEquals(share.mostPerSecond(), Integer.MAX_VALUE);
+    assertEquals(share.maxPerSecond(), Integer.MAX_VALUE);
   }
 
   /** Instances that have a place from a seed. */
@@ -91,7 +91,7 @@
     private static int share(String server, int place, int places) {
       Optional<InstanceIndex> known = Optional.of(new InstanceIndex(place, places));
       return ColdShare.of(WARMUP, BOUNDS, new SenderSelection("front", server, places, known))
-          .mostPerSecond();
+          .maxPerSecond();
     }
 
     /** What the instances send whose places a list names, in a second. */
@@ -150,7 +150,7 @@
           named +=
               ColdShare.of(
                       WARMUP, BOUNDS, new SenderSelection("front-" + k, server, INSTANCES, NOWHERE))
-                  .mostPerSecond();
+                  .maxPerSecond();
         }
         int all = named + sum(server, shuffled(3).subList(0, INSTANCES / 3));
         assertTrue(all <= MOST_PER_SECOND, server + " got " + all);
@@ -167,7 +167,7 @@
         senders +=
             ColdShare.of(
                     one, ColdShare.Bounds.NONE, new SenderSelection("a", "i@0", INSTANCES, known))
-                .mostPerSecond();
+                .maxPerSecond();
       }
       assertEquals(senders, 1);
     }
@@ -182,23 +182,23 @@
 
     /** Each instance holds a bucket that fills at an even part of the limit. */
     private static final class Buckets implements Bursts.Way {
-      private final List<RateLimit> buckets = new ArrayList<>();
+      private final List<TokenBucket> buckets = new ArrayList<>();
       private final double perSecond;
 
       Buckets(Random random) {
         perSecond = MOST_PER_SECOND / INSTANCES;
         for (int i = 0; i < INSTANCES; i++) {
-          RateLimit bucket = new RateLimit(1, 0);
-          bucket.take(0, 0);
+          TokenBucket bucket = new TokenBucket(1, 0);
+          bucket.tryTake(0, 0);
           // As much as if it had begun to fill at any moment before.
-          bucket.take(random.nextDouble(), TimeUnit.SECONDS.toNanos(1));
+          bucket.tryTake(random.nextDouble(), TimeUnit.SECONDS.toNanos(1));
           buckets.add(bucket);
         }
       }
 
       @Override
       public boolean send(int instance, long nowNanos) {
-        return buckets.get(instance).take(perSecond, nowNanos + TimeUnit.SECONDS.toNanos(1));
+        return buckets.get(instance).tryTake(perSecond, nowNanos + TimeUnit.SECONDS.toNanos(1));
       }
     }
 
@@ -222,7 +222,7 @@
                 BOUNDS,
                 new SenderSelection("front-" + instance, server, INSTANCES, NOWHERE));
         SendWindow window = windows.get(instance);
-        if (window.size(TimeUnit.SECONDS.toNanos(1), nowNanos) >= share.mostPerSecond()) {
+        if (window.size(TimeUnit.SECONDS.toNanos(1), nowNanos) >= share.maxPerSecond()) {
           return false;
         }
         window.add(nowNanos);
--- a/front/src/test/java/org/magnoliaswitch/front/load/RateLimitShareTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/RateLimitShareTest.java
@@ -36,7 +36,7 @@
     for (int i = 0; i < instances; i++) {
       if (random.nextDouble() < part) {
         SenderSelection draw = draw(i, server, believed, placed && i < believed);
-        sum += RateLimitShare.of(perSecond, draw, part).mostInSpan();
+        sum += RateLimitShare.of(perSecond, draw, part).maxPerWindow();
       }
     }
     return sum;
@@ -89,7 +89,7 @@
 
   @Test
   public void aServerThatTakesNothingGetsNothing() {
-    assertEquals(RateLimitShare.of(0, draw(0, "i@0", 17, true), 1).mostInSpan(), 0);
+    assertEquals(RateLimitShare.of(0, draw(0, "i@0", 17, true), 1).maxPerWindow(), 0);
   }
 
   /** Two ways to keep a limit that nobody can ask the others about. */
@@ -102,18 +102,18 @@
     private static final long CALM_NANOS = TimeUnit.SECONDS.toNanos(60);
 
     /** Each instance holds a bucket of one request that fills at an even part of the limit. */
-    private record Buckets(List<RateLimit> buckets, double perSecond) implements Bursts.Way {
+    private record Buckets(List<TokenBucket> buckets, double perSecond) implements Bursts.Way {
       static Buckets of(int instances, double perSecond) {
-        List<RateLimit> buckets = new ArrayList<>();
+        List<TokenBucket> buckets = new ArrayList<>();
         for (int i = 0; i < instances; i++) {
-          buckets.add(new RateLimit(1, 0));
+          buckets.add(new TokenBucket(1, 0));
         }
         return new Buckets(buckets, perSecond / instances);
       }
 
       @Override
       public boolean send(int instance, long nowNanos) {
-        return buckets.get(instance).take(perSecond, nowNanos);
+        return buckets.get(instance).tryTake(perSecond, nowNanos);
       }
     }
 
@@ -124,7 +124,7 @@
         List<SendWindow> windows = new ArrayList<>();
         List<RateLimitShare> shares = new ArrayList<>();
         for (int i = 0; i < instances; i++) {
-          windows.add(new SendWindow(RateLimitShare.SPAN_NANOS));
+          windows.add(new SendWindow(RateLimitShare.WINDOW_NANOS));
           shares.add(RateLimitShare.of(perSecond, draw(i, server, instances, true), 1));
         }
         return new Shares(windows, shares);
@@ -133,8 +133,8 @@
       @Override
       public boolean send(int instance, long nowNanos) {
         SendWindow window = windows.get(instance);
-        int most = shares.get(instance).mostInSpan();
-        if (window.size(RateLimitShare.SPAN_NANOS, nowNanos) >= most) {
+        int most = shares.get(instance).maxPerWindow();
+        if (window.size(RateLimitShare.WINDOW_NANOS, nowNanos) >= most) {
           return false;
         }
         window.add(nowNanos);
@@ -147,7 +147,7 @@
     }
 
     private static long mostInASpan(List<Long> sends) {
-      return Bursts.mostInSpan(sends, RateLimitShare.SPAN_NANOS);
+      return Bursts.mostInSpan(sends, RateLimitShare.WINDOW_NANOS);
     }
 
     @DataProvider
