--- a/bench/src/main/java/org/magnoliaswitch/bench/model/FrontExchange.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/FrontExchange.java
@@ -9,7 +9,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import org.magnoliaswitch.front.load.AdmissionLimit;
-import org.magnoliaswitch.front.load.Fallback;
+import org.magnoliaswitch.front.load.CallerRetry;
 import org.magnoliaswitch.front.load.HedgeDelay;
 import org.magnoliaswitch.front.load.LoadSample;
 import org.magnoliaswitch.front.load.Mechanism;
@@ -18,7 +18,7 @@
 import org.magnoliaswitch.front.load.Placement;
 import org.magnoliaswitch.front.load.PlacementContext;
 import org.magnoliaswitch.front.load.RetryAfter;
-import org.magnoliaswitch.front.load.Selection;
+import org.magnoliaswitch.front.load.ServerSelection;
 import org.magnoliaswitch.front.load.ServerState;
 import org.magnoliaswitch.front.load.Timeliness;
 import org.magnoliaswitch.front.process.LatencyBaseline;
@@ -100,15 +100,15 @@
     }
   }
 
-  private void search(Consumer<Selection.Step> found) {
+  private void search(Consumer<ServerSelection.Step> found) {
     look(0, found);
   }
 
-  private void look(int round, Consumer<Selection.Step> found) {
+  private void look(int round, Consumer<ServerSelection.Step> found) {
     PlacementContext context = context();
     List<Placement.Ranked> ranked = node.rank(context, request.kind(), tried);
-    Selection.Step step = Selection.next(ranked, context, round, true);
-    if (step instanceof Selection.Step.Ask ask) {
+    ServerSelection.Step step = ServerSelection.next(ranked, context, round, true);
+    if (step instanceof ServerSelection.Step.Probe ask) {
       ask(ask.servers(), () -> look(round + 1, found));
     } else {
       found.accept(step);
@@ -134,22 +134,22 @@
     node.world().time().afterMillis(longest, then);
   }
 
-  private void found(Selection.Step step, int asked) {
+  private void found(ServerSelection.Step step, int asked) {
     if (done || asked != searches) {
       return;
     }
     if (!sought && timeliness() == Timeliness.IN_TIME) {
-      node.routes().load(service()).sought(step instanceof Selection.Step.Send);
+      node.routes().load(service()).sought(step instanceof ServerSelection.Step.Send);
     }
     sought = true;
     switch (step) {
-      case Selection.Step.Send send -> {
+      case ServerSelection.Step.Send send -> {
         leaveQueue();
         send(send.server());
       }
-      case Selection.Step.Ask ask -> waitForRoom();
-      case Selection.Step.Full full -> waitForRoom();
-      case Selection.Step.None none -> refuse(RetryAfter.Cause.BUSY);
+      case ServerSelection.Step.Probe ask -> waitForRoom();
+      case ServerSelection.Step.AllBusy full -> waitForRoom();
+      case ServerSelection.Step.NoServer none -> refuse(RetryAfter.Cause.BUSY);
     }
   }
 
@@ -242,7 +242,9 @@
       search(
           step -> {
             boolean wanted = !done && current == searches;
-            if (wanted && step instanceof Selection.Step.Send found && repeat(Fallback.NONE)) {
+            if (wanted
+                && step instanceof ServerSelection.Step.Send found
+                && repeat(CallerRetry.NONE)) {
               send(found.server());
             }
           });
@@ -253,17 +255,17 @@
     return sends < request.kind().route().maxServers();
   }
 
-  private boolean repeat(Fallback fallback) {
+  private boolean repeat(CallerRetry fallback) {
     return maySend() && node.mayRepeat(service(), fallback);
   }
 
-  private Fallback fallback() {
+  private CallerRetry fallback() {
     if (!mechanisms().on(Mechanism.LAST_TRIES_FIRST)) {
-      return Fallback.NONE;
+      return CallerRetry.NONE;
     }
     double usual = node.routes().baseline(request.kind().route()).nanos();
     long left = request.deadlineNanos() - now();
-    return Fallback.of(request.firstTry(), OptionalLong.of(spentNanos), left, usual);
+    return CallerRetry.of(request.firstTry(), OptionalLong.of(spentNanos), left, usual);
   }
 
   private void rejected(Send send) {
--- a/bench/src/main/java/org/magnoliaswitch/bench/model/FrontNode.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/FrontNode.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.magnoliaswitch.front.load.Fallback;
+import org.magnoliaswitch.front.load.CallerRetry;
 import org.magnoliaswitch.front.load.LoadSample;
 import org.magnoliaswitch.front.load.Mechanism;
 import org.magnoliaswitch.front.load.PendingQueue;
@@ -171,7 +171,7 @@
     return Placement.slowness(state, load, world.time().nanos());
   }
 
-  boolean mayRepeat(String service, Fallback fallback) {
+  boolean mayRepeat(String service, CallerRetry fallback) {
     return routes
         .budget(service)
         .spend(fallback, world.deployment().instances(), world.time().nanos());
--- a/front/src/main/java/org/magnoliaswitch/front/load/Fallback.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/CallerRetry.java
@@ -14,9 +14,9 @@
  * Neither sign is trusted alone: some callers open a connection for each request, and some are less
  * patient than others from the start. Whatever is doubtful counts as a last try.
  */
-public enum Fallback {
+public enum CallerRetry {
   /** Refused at once, the caller comes back and can still be served. */
-  CALLER_RETURNS,
+  EXPECTED,
 
   /** It has come back before, has no time left to, or does not tell. */
   NONE;
@@ -36,13 +36,13 @@
    * @param leftNanos time that it still waits
    * @param usualNanos usual latency of such a request
    */
-  public static Fallback of(
+  public static CallerRetry of(
       boolean usedConnection, OptionalLong spentNanos, long leftNanos, double usualNanos) {
     if (spentNanos.isEmpty()) {
       return NONE;
     }
     long spent = spentNanos.getAsLong();
     boolean firstTry = usedConnection && spent <= PATIENCE_SPREAD * (spent + leftNanos);
-    return firstTry && leftNanos > RETURN_FACTOR * usualNanos ? CALLER_RETURNS : NONE;
+    return firstTry && leftNanos > RETURN_FACTOR * usualNanos ? EXPECTED : NONE;
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/load/RateLimitShare.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/RateLimitShare.java
@@ -12,7 +12,7 @@
  * <p>Each instance gets an even part of a span's requests; instances that are drawn for the server
  * share what is left of the division. In a span of a second most would have no part.
  *
- * @param maxPerWindow sends of this instance to the server in any span of {@link #SPAN_NANOS}
+ * @param maxPerWindow sends of this instance to the server in any span of {@link #WINDOW_NANOS}
  */
 public record RateLimitShare(int maxPerWindow) {
   /** Span over which the limit is kept. */
--- a/front/src/main/java/org/magnoliaswitch/front/load/Selection.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/ServerSelection.java
@@ -18,7 +18,7 @@
  * callers press it is as full as they are, and a request sent there waits behind others or is
  * rejected. So it goes to none, and the next search asks further ones.
  */
-public final class Selection {
+public final class ServerSelection {
   /**
    * Candidates asked in each round; a round takes a few milliseconds, twelve where one is silent.
    * Mostly the first one will do, so one is asked first.
@@ -34,7 +34,7 @@
   /** A sample that shows no more than this counts as undisturbed. */
   private static final double UNDISTURBED = 1.3;
 
-  private Selection() {}
+  private ServerSelection() {}
 
   /** What to do next with a request. */
   public sealed interface Step {
@@ -42,17 +42,17 @@
     record Send(ServerState server) implements Step {}
 
     /** Ask some servers for their load and decide again; never empty. */
-    record Ask(List<ServerState> servers) implements Step {
-      public Ask {
+    record Probe(List<ServerState> servers) implements Step {
+      public Probe {
         servers = List.copyOf(servers);
       }
     }
 
     /** There are servers, and all of them are busy. */
-    record Full() implements Step {}
+    record AllBusy() implements Step {}
 
     /** No server may get it. */
-    record None() implements Step {}
+    record NoServer() implements Step {}
   }
 
   private static List<Integer> rounds(PlacementContext context) {
@@ -89,7 +89,7 @@
             .filter(server -> !known(server, nowNanos))
             .limit(rounds.get(round))
             .toList();
-    return unsure.isEmpty() ? step : new Step.Ask(unsure);
+    return unsure.isEmpty() ? step : new Step.Probe(unsure);
   }
 
   /** The decision among the servers that are known well; the other one if there are none. */
@@ -102,13 +102,13 @@
   /** After the last round, whether the asked servers have answered or were waited for in vain. */
   private static Step decided(List<Ranked> ranked, PlacementContext context) {
     if (ranked.isEmpty()) {
-      return new Step.None();
+      return new Step.NoServer();
     }
     List<ServerState> fitting = ranked.stream().filter(Ranked::fits).map(Ranked::server).toList();
     return first(fitting, server -> AdmissionLimit.hasRoom(server, context))
         .or(() -> first(fitting, server -> AdmissionLimit.mayFill(server, context)))
         .<Step>map(Step.Send::new)
-        .orElseGet(Step.Full::new);
+        .orElseGet(Step.AllBusy::new);
   }
 
   private static Optional<ServerState> first(
--- a/front/src/main/java/org/magnoliaswitch/front/load/SharedRetryBudget.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/SharedRetryBudget.java
@@ -68,13 +68,13 @@
   }
 
   /** Takes one further send if the budget has room for it. */
-  public boolean spend(Fallback fallback, int instances, long nowNanos) {
+  public boolean spend(CallerRetry fallback, int instances, long nowNanos) {
     int bucket = roll(nowNanos);
     double all = limits.allowed(sum(requests), instances);
     double allowed =
         switch (fallback) {
           // One is free for anybody: a single rejection on a calm day must not cost a caller a try.
-          case CALLER_RETURNS -> Math.max(RETURNING_SHARE * all, Math.min(1, all));
+          case EXPECTED -> Math.max(RETURNING_SHARE * all, Math.min(1, all));
           case NONE -> all;
         };
     if (sum(repeats) + roundUpFrom > allowed) {
--- a/front/src/main/java/org/magnoliaswitch/front/load/PartPicker.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/WeightedServicePicker.java
@@ -10,12 +10,12 @@
  * weights; a random start keeps many instances that each see few requests from all beginning with
  * the same part, which would shift the sum over them.
  */
-public final class PartPicker {
+public final class WeightedServicePicker {
   private static final double GOLDEN_STEP = 0.6180339887498949;
 
   private double position;
 
-  public PartPicker(double start) {
+  public WeightedServicePicker(double start) {
     this.position = start;
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/process/RouteState.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/RouteState.java
@@ -3,16 +3,16 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.random.RandomGenerator;
-import org.magnoliaswitch.front.load.PartPicker;
 import org.magnoliaswitch.front.load.ServiceLoad;
 import org.magnoliaswitch.front.load.SharedRetryBudget;
+import org.magnoliaswitch.front.load.WeightedServicePicker;
 import org.magnoliaswitch.front.version.Route;
 
 /** What outlives a configuration version for each route and service; used by one thread only. */
 public final class RouteState {
   private final RandomGenerator random;
   private final SharedRetryBudget.Limits repeatLimits;
-  private final Map<String, PartPicker> pickers = new HashMap<>();
+  private final Map<String, WeightedServicePicker> pickers = new HashMap<>();
   private final Map<String, LatencyBaseline> baselines = new HashMap<>();
   private final Map<String, SharedRetryBudget> budgets = new HashMap<>();
   private final Map<String, Long> patience = new HashMap<>();
@@ -29,7 +29,7 @@
       return route.parts().getFirst().service();
     }
     return pickers
-        .computeIfAbsent(route.name(), name -> new PartPicker(random.nextDouble()))
+        .computeIfAbsent(route.name(), name -> new WeightedServicePicker(random.nextDouble()))
         .next(route.parts());
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/request/FurtherSends.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/FurtherSends.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import org.magnoliaswitch.core.process.RequestCrashes;
-import org.magnoliaswitch.front.load.Fallback;
+import org.magnoliaswitch.front.load.CallerRetry;
 import org.magnoliaswitch.front.load.Mechanism;
 import org.magnoliaswitch.front.load.SharedRetryBudget;
 import org.magnoliaswitch.front.process.Environment;
@@ -46,12 +46,12 @@
   /** Whether one may follow a send that a server has rejected; it is taken from the budget. */
   boolean mayFollowRejection() {
     boolean ordered = environment.settings().mechanisms().on(Mechanism.LAST_TRIES_FIRST);
-    return mayFollow(ordered ? times.fallback() : Fallback.NONE);
+    return mayFollow(ordered ? times.fallback() : CallerRetry.NONE);
   }
 
   /** Whether one may follow a send that brought no answer or a failure; taken from the budget. */
   boolean mayFollow() {
-    return mayFollow(Fallback.NONE);
+    return mayFollow(CallerRetry.NONE);
   }
 
   /** Whether one may go out beside a send that is late; taken from the budget. */
@@ -63,13 +63,13 @@
     return mayFollow();
   }
 
-  private boolean mayFollow(Fallback fallback) {
+  private boolean mayFollow(CallerRetry fallback) {
     Optional<String> obstacle = obstacle(fallback);
     obstacle.ifPresent(reason -> report.notRepeated(service, reason, times.leftNanos()));
     return obstacle.isEmpty();
   }
 
-  private Optional<String> obstacle(Fallback fallback) {
+  private Optional<String> obstacle(CallerRetry fallback) {
     if (sends >= route.maxServers()) {
       return Optional.of("most_servers");
     }
@@ -84,6 +84,6 @@
     if (budget.spend(fallback, environment.instances().count(), now)) {
       return Optional.empty();
     }
-    return Optional.of(fallback == Fallback.NONE ? "no_budget" : "caller_returns");
+    return Optional.of(fallback == CallerRetry.NONE ? "no_budget" : "caller_returns");
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/request/RequestTimes.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RequestTimes.java
@@ -2,7 +2,7 @@
 
 import java.util.OptionalLong;
 import org.magnoliaswitch.front.connection.CallerRequest;
-import org.magnoliaswitch.front.load.Fallback;
+import org.magnoliaswitch.front.load.CallerRetry;
 import org.magnoliaswitch.front.load.Timeliness;
 import org.magnoliaswitch.front.process.Environment;
 import org.magnoliaswitch.front.version.Route;
@@ -57,8 +57,8 @@
   }
 
   /** What the caller can still do if the request is refused now. */
-  Fallback fallback() {
-    return Fallback.of(usedConnection, spentNanos, leftNanos(), usualNanos());
+  CallerRetry fallback() {
+    return CallerRetry.of(usedConnection, spentNanos, leftNanos(), usualNanos());
   }
 
   /** Whether the request can still be answered within its objective. */
--- a/front/src/main/java/org/magnoliaswitch/front/request/ServerSearch.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/ServerSearch.java
@@ -10,7 +10,7 @@
 import org.magnoliaswitch.front.load.Placement;
 import org.magnoliaswitch.front.load.Placement.Ranked;
 import org.magnoliaswitch.front.load.PlacementContext;
-import org.magnoliaswitch.front.load.Selection;
+import org.magnoliaswitch.front.load.ServerSelection;
 import org.magnoliaswitch.front.load.ServerState;
 import org.magnoliaswitch.front.load.Timeliness;
 import org.magnoliaswitch.front.process.Environment;
@@ -53,10 +53,10 @@
       }
       List<Ranked> ranked = rank(query, excluded);
       boolean askable = policy.isPresent();
-      Selection.Step step = Selection.next(ranked, context(query), round, askable);
-      if (step instanceof Selection.Step.Ask ask && policy.isPresent()) {
+      ServerSelection.Step step = ServerSelection.next(ranked, context(query), round, askable);
+      if (step instanceof ServerSelection.Step.Probe ask && policy.isPresent()) {
         ask(ask.servers(), policy.get(), round + 1);
-      } else if (step instanceof Selection.Step.None) {
+      } else if (step instanceof ServerSelection.Step.NoServer) {
         found.accept(heldBack(query, excluded));
       } else {
         found.accept(result(step));
@@ -85,12 +85,12 @@
     }
   }
 
-  private static Result result(Selection.Step step) {
+  private static Result result(ServerSelection.Step step) {
     return switch (step) {
-      case Selection.Step.Send send -> new Result.Chosen(send.server());
-      case Selection.Step.Full full -> new Result.Full(0);
-      case Selection.Step.None none -> new Result.None();
-      case Selection.Step.Ask ask -> new Result.Full(0);
+      case ServerSelection.Step.Send send -> new Result.Chosen(send.server());
+      case ServerSelection.Step.AllBusy full -> new Result.Full(0);
+      case ServerSelection.Step.NoServer none -> new Result.None();
+      case ServerSelection.Step.Probe ask -> new Result.Full(0);
     };
   }
 
--- a/front/src/test/java/org/magnoliaswitch/front/load/FallbackTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/CallerRetryTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.Test;
 
 /** What is left to a caller whose request was rejected. */
-public final class FallbackTest {
+public final class CallerRetryTest {
   private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
   private static final double USUAL = 100 * MILLI;
 
@@ -16,19 +16,19 @@
   @DataProvider
   public Object[][] callers() {
     return new Object[][] {
-      {true, OptionalLong.of(0), 1_000 * MILLI, Fallback.CALLER_RETURNS},
+      {true, OptionalLong.of(0), 1_000 * MILLI, CallerRetry.EXPECTED},
       // A refused caller opens a connection when it comes back.
-      {false, OptionalLong.of(0), 1_000 * MILLI, Fallback.NONE},
+      {false, OptionalLong.of(0), 1_000 * MILLI, CallerRetry.NONE},
       // It is less patient than others.
-      {true, OptionalLong.of(140 * MILLI), 860 * MILLI, Fallback.CALLER_RETURNS},
+      {true, OptionalLong.of(140 * MILLI), 860 * MILLI, CallerRetry.EXPECTED},
       // It has much less time than others: this may be its second try, and its last.
-      {true, OptionalLong.of(300 * MILLI), 700 * MILLI, Fallback.NONE},
-      {true, OptionalLong.of(600 * MILLI), 400 * MILLI, Fallback.NONE},
+      {true, OptionalLong.of(300 * MILLI), 700 * MILLI, CallerRetry.NONE},
+      {true, OptionalLong.of(600 * MILLI), 400 * MILLI, CallerRetry.NONE},
       // A return would find no time to work.
-      {true, OptionalLong.of(0), 149 * MILLI, Fallback.NONE},
-      {true, OptionalLong.of(0), 0L, Fallback.NONE},
+      {true, OptionalLong.of(0), 149 * MILLI, CallerRetry.NONE},
+      {true, OptionalLong.of(0), 0L, CallerRetry.NONE},
       // It does not tell a deadline, so nobody knows whether it has come back before.
-      {true, OptionalLong.empty(), 1_000 * MILLI, Fallback.NONE},
+      {true, OptionalLong.empty(), 1_000 * MILLI, CallerRetry.NONE},
     };
   }
 
@@ -38,7 +38,7 @@
    */
   @Test(dataProvider = "callers")
   public void onlyACallerThatCanComeBackIsTakenForOne(
-      boolean usedConnection, OptionalLong spent, long left, Fallback expected) {
-    assertEquals(Fallback.of(usedConnection, spent, left, USUAL), expected);
+      boolean usedConnection, OptionalLong spent, long left, CallerRetry expected) {
+    assertEquals(CallerRetry.of(usedConnection, spent, left, USUAL), expected);
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/load/SelectionTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/ServerSelectionTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.Test;
 
 /** When a ranking is good enough, and whom to ask otherwise. */
-public final class SelectionTest {
+public final class ServerSelectionTest {
   private static final long NOW = TimeUnit.SECONDS.toNanos(10);
   private static final long LONG_AGO = TimeUnit.SECONDS.toNanos(9);
 
@@ -22,15 +22,15 @@
   /** More rounds than a search has. */
   private static final int LAST_ROUND = 9;
 
-  private static Selection.Step next(boolean askable, ServerState... servers) {
+  private static ServerSelection.Step next(boolean askable, ServerState... servers) {
     List<Ranked> ranked = Stream.of(servers).map(server -> new Ranked(server, 0, true)).toList();
-    return Selection.next(ranked, CONTEXT, 1, askable);
+    return ServerSelection.next(ranked, CONTEXT, 1, askable);
   }
 
   @Test
   public void anUndisturbedServerHeardOfJustNowIsTaken() {
     ServerState fresh = Servers.told("a", 1, 1, NOW);
-    assertEquals(next(true, fresh), new Selection.Step.Send(fresh));
+    assertEquals(next(true, fresh), new ServerSelection.Step.Send(fresh));
   }
 
   /**
@@ -43,7 +43,7 @@
     ServerState slow = Servers.told("a", 1, 4, NOW);
     ServerState old = Servers.told("b", 1, 1, LONG_AGO);
     ServerState other = Servers.told("c", 1, 1, LONG_AGO);
-    assertEquals(next(true, slow, old, other), new Selection.Step.Ask(List.of(old, other)));
+    assertEquals(next(true, slow, old, other), new ServerSelection.Step.Probe(List.of(old, other)));
   }
 
   /**
@@ -57,10 +57,11 @@
             .map(id -> new Ranked(Servers.told(id, 1, 1, LONG_AGO), 0, true))
             .toList();
     for (int round = 0; round < 3; round++) {
-      Selection.Step step = Selection.next(ranked, CONTEXT, round, true);
-      assertTrue(step instanceof Selection.Step.Ask ask && ask.servers().size() == round + 1);
+      ServerSelection.Step step = ServerSelection.next(ranked, CONTEXT, round, true);
+      assertTrue(
+          step instanceof ServerSelection.Step.Probe ask && ask.servers().size() == round + 1);
     }
-    assertTrue(Selection.next(ranked, CONTEXT, 3, true) instanceof Selection.Step.Send);
+    assertTrue(ServerSelection.next(ranked, CONTEXT, 3, true) instanceof ServerSelection.Step.Send);
   }
 
   /** Guards against health checks at a server that asked for fewer requests. */
@@ -69,13 +70,13 @@
     ServerState limited = Servers.told("a", 1, 1, LONG_AGO);
     ServerNotice notice = new ServerNotice(false, OptionalDouble.of(4.6), 0);
     limited.backpressure().answered(notice, LONG_AGO, LONG_AGO);
-    assertEquals(next(true, limited), new Selection.Step.Send(limited));
+    assertEquals(next(true, limited), new ServerSelection.Step.Send(limited));
   }
 
   @Test
   public void aSlowServerIsTakenWhenAllHaveJustSaidSo() {
     ServerState slow = Servers.told("a", 1, 4, NOW);
-    assertEquals(next(true, slow), new Selection.Step.Send(slow));
+    assertEquals(next(true, slow), new ServerSelection.Step.Send(slow));
   }
 
   /**
@@ -86,14 +87,15 @@
   @Test
   public void aRequestDoesNotStartWhereItsAnswerWouldBeLate() {
     ServerState slow = Servers.told("a", 1, 5, NOW);
-    Selection.Step step = Selection.next(List.of(new Ranked(slow, 0, false)), CONTEXT, 0, false);
-    assertTrue(step instanceof Selection.Step.Full);
+    ServerSelection.Step step =
+        ServerSelection.next(List.of(new Ranked(slow, 0, false)), CONTEXT, 0, false);
+    assertTrue(step instanceof ServerSelection.Step.AllBusy);
   }
 
   @Test
   public void afterTheLastRoundNobodyIsAsked() {
     ServerState old = Servers.told("b", 1, 1, LONG_AGO);
-    assertEquals(next(false, old), new Selection.Step.Send(old));
+    assertEquals(next(false, old), new ServerSelection.Step.Send(old));
   }
 
   /**
@@ -106,7 +108,9 @@
     ServerState full = Servers.told("a", 6, 1, NOW);
     ServerState old = Servers.told("b", 0, 1, LONG_AGO);
     List<Ranked> ranked = List.of(new Ranked(full, 0, true), new Ranked(old, 1, true));
-    assertTrue(Selection.next(ranked, CONTEXT, LAST_ROUND, true) instanceof Selection.Step.Full);
+    assertTrue(
+        ServerSelection.next(ranked, CONTEXT, LAST_ROUND, true)
+            instanceof ServerSelection.Step.AllBusy);
   }
 
   /** No server answered in time: a guess is better than refusing everybody. */
@@ -114,13 +118,15 @@
   public void withoutAnyAnswerTheBestGuessIsTaken() {
     ServerState old = Servers.told("b", 0, 1, LONG_AGO);
     List<Ranked> ranked = List.of(new Ranked(old, 1, true));
-    assertEquals(Selection.next(ranked, CONTEXT, LAST_ROUND, true), new Selection.Step.Send(old));
+    assertEquals(
+        ServerSelection.next(ranked, CONTEXT, LAST_ROUND, true),
+        new ServerSelection.Step.Send(old));
   }
 
   @Test
   public void busyServersAndNoServersAreToldApart() {
     ServerState busy = Servers.told("a", 6, 1, NOW);
-    assertTrue(next(true, busy) instanceof Selection.Step.Full);
-    assertTrue(next(true) instanceof Selection.Step.None);
+    assertTrue(next(true, busy) instanceof ServerSelection.Step.AllBusy);
+    assertTrue(next(true) instanceof ServerSelection.Step.NoServer);
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/load/ServiceShapesTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/ServiceShapesTest.java
@@ -43,35 +43,36 @@
     return state;
   }
 
-  private static Selection.Step step(ServerState server, long work) {
+  private static ServerSelection.Step step(ServerState server, long work) {
     PlacementContext context =
         Servers.context(
             (double) work, OBJECTIVE_FACTOR * work, Timeliness.IN_TIME, new ServiceLoad(), NOW);
     List<Ranked> ranked = Placement.rank(List.of(server), context, new Random(1));
-    return Selection.next(ranked, context, 0, true);
+    return ServerSelection.next(ranked, context, 0, true);
   }
 
   @Test(dataProvider = "shapes")
   public void anIdleServerGetsARequest(int slots, long work) {
     ServerState idle = server(slots, 0, 1);
-    assertEquals(step(idle, work), new Selection.Step.Send(idle));
+    assertEquals(step(idle, work), new ServerSelection.Step.Send(idle));
   }
 
   @Test(dataProvider = "shapes")
   public void aFullServerGetsNone(int slots, long work) {
-    assertTrue(step(server(slots, slots, 1), work) instanceof Selection.Step.Full);
+    assertTrue(step(server(slots, slots, 1), work) instanceof ServerSelection.Step.AllBusy);
   }
 
   @Test(dataProvider = "shapes")
   public void aServerTooSlowForTheObjectiveGetsNone(int slots, long work) {
-    assertTrue(step(server(slots, 0, OBJECTIVE_FACTOR + 1), work) instanceof Selection.Step.Full);
+    assertTrue(
+        step(server(slots, 0, OBJECTIVE_FACTOR + 1), work) instanceof ServerSelection.Step.AllBusy);
   }
 
   /** With the last slots left free a server must still use most of those it runs well. */
   @Test(dataProvider = "shapes")
   public void atLeastHalfOfTheSlotsAreUsed(int slots, long work) {
     int running = 0;
-    while (step(server(slots, running, 1), work) instanceof Selection.Step.Send) {
+    while (step(server(slots, running, 1), work) instanceof ServerSelection.Step.Send) {
       running++;
     }
     assertTrue(running >= 1 && 2 * running >= slots && running <= slots, running + " of " + slots);
--- a/front/src/test/java/org/magnoliaswitch/front/load/SharedRetryBudgetTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/SharedRetryBudgetTest.java
@@ -41,7 +41,7 @@
       int instance = (int) (instances * Math.pow(random.nextDouble(), 3));
       budgets[instance].request(now);
       requests.addLast(now);
-      if (budgets[instance].spend(Fallback.NONE, instances, now)) {
+      if (budgets[instance].spend(CallerRetry.NONE, instances, now)) {
         repeats.addLast(now);
       }
       forget(requests, now);
@@ -55,11 +55,11 @@
   @Test
   public void aQuietInstanceMayRepeatAfterItsWindow() {
     SharedRetryBudget budget = new SharedRetryBudget(LIMITS, 0);
-    while (budget.spend(Fallback.NONE, 17, 0)) {
+    while (budget.spend(CallerRetry.NONE, 17, 0)) {
       assertTrue(true);
     }
-    assertFalse(budget.spend(Fallback.NONE, 17, WINDOW / 2));
-    assertTrue(budget.spend(Fallback.NONE, 17, 2 * WINDOW));
+    assertFalse(budget.spend(CallerRetry.NONE, 17, WINDOW / 2));
+    assertTrue(budget.spend(CallerRetry.NONE, 17, 2 * WINDOW));
   }
 
   /**
@@ -72,8 +72,8 @@
     for (int i = 0; i < 500; i++) {
       budget.request(0);
     }
-    int returning = spendAll(budget, Fallback.CALLER_RETURNS);
-    int last = spendAll(budget, Fallback.NONE);
+    int returning = spendAll(budget, CallerRetry.EXPECTED);
+    int last = spendAll(budget, CallerRetry.NONE);
     assertTrue(returning > 20, "returning " + returning);
     assertTrue(last > returning, "last " + last + ", returning " + returning);
   }
@@ -89,8 +89,8 @@
     for (int i = 0; i < 5; i++) {
       budget.request(0);
     }
-    assertTrue(budget.spend(Fallback.CALLER_RETURNS, 152, 0));
-    assertFalse(budget.spend(Fallback.CALLER_RETURNS, 152, 0));
+    assertTrue(budget.spend(CallerRetry.EXPECTED, 152, 0));
+    assertFalse(budget.spend(CallerRetry.EXPECTED, 152, 0));
   }
 
   /**
@@ -109,7 +109,7 @@
         budget.request(0);
       }
       int spent = 0;
-      while (budget.spend(Fallback.NONE, instances, 0)) {
+      while (budget.spend(CallerRetry.NONE, instances, 0)) {
         spent++;
       }
       sum += spent;
@@ -118,7 +118,7 @@
     assertTrue(Math.abs(sum - allowed) < 0.02 * allowed, sum + " of " + allowed);
   }
 
-  private static int spendAll(SharedRetryBudget budget, Fallback fallback) {
+  private static int spendAll(SharedRetryBudget budget, CallerRetry fallback) {
     int spent = 0;
     while (budget.spend(fallback, 17, 0)) {
       spent++;
--- a/front/src/test/java/org/magnoliaswitch/front/load/PartPickerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/WeightedServicePickerTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.Test;
 
 /** How a route's requests are divided among its services. */
-public final class PartPickerTest {
+public final class WeightedServicePickerTest {
   @DataProvider
   public Object[][] weights() {
     return new Object[][] {{50, 50}, {90, 10}, {1, 3}, {99, 1}};
@@ -26,7 +26,7 @@
         List.of(new WeightedService("a", first), new WeightedService("b", second));
     int toFirst = 0;
     for (int instance = 0; instance < 17; instance++) {
-      PartPicker picker = new PartPicker(random.nextDouble());
+      WeightedServicePicker picker = new WeightedServicePicker(random.nextDouble());
       for (int i = 0; i < 18; i++) {
         toFirst += picker.next(parts).equals("a") ? 1 : 0;
       }
