--- a/bench/src/main/java/org/magnoliaswitch/bench/model/FrontExchange.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/FrontExchange.java
@@ -139,7 +139,7 @@
       return;
     }
     if (!sought && timeliness() == Timeliness.IN_TIME) {
-      node.routes().load(service()).sought(step instanceof ServerSelection.Step.Send);
+      node.routes().load(service()).recordSearch(step instanceof ServerSelection.Step.Send);
     }
     sought = true;
     switch (step) {
@@ -158,7 +158,7 @@
     long objective = request.kind().route().objectiveNanos();
     long patience = request.deadlineNanos() - arrivedNanos;
     double limit = node.rules().waiting().nanos(timeliness(), usual, objective, patience);
-    if (now() - arrivedNanos > limit || !mechanisms().on(Mechanism.WAITING)) {
+    if (now() - arrivedNanos > limit || !mechanisms().enabled(Mechanism.WAITING)) {
       refuse(RetryAfter.Cause.BUSY);
       return;
     }
@@ -236,7 +236,9 @@
       return;
     }
     send.state.overdue((now() - sentNanos) / usual, now());
-    if (mechanisms().on(Mechanism.HEDGING) && request.kind().route().idempotent() && maySend()) {
+    if (mechanisms().enabled(Mechanism.HEDGING)
+        && request.kind().route().idempotent()
+        && maySend()) {
       searches++;
       int current = searches;
       search(
@@ -260,7 +262,7 @@
   }
 
   private CallerRetry fallback() {
-    if (!mechanisms().on(Mechanism.LAST_TRIES_FIRST)) {
+    if (!mechanisms().enabled(Mechanism.LAST_TRIES_FIRST)) {
       return CallerRetry.NONE;
     }
     double usual = node.routes().baseline(request.kind().route()).nanos();
@@ -311,7 +313,7 @@
 
   private void learn(ServerState state, long tookNanos, double slowness) {
     LatencyBaseline baseline = node.routes().baseline(request.kind().route());
-    Optional<FrontExchange> first = node.pending().first(service());
+    Optional<FrontExchange> first = node.pending().peek(service());
     if (first.isPresent() && first.get().suits(state)) {
       first.get().offered(state);
     }
@@ -321,8 +323,9 @@
 
   private boolean suits(ServerState state) {
     PlacementContext context = context();
-    return Placement.fits(state, context)
-        && (AdmissionLimit.hasRoom(state, context) || AdmissionLimit.mayFill(state, context));
+    return Placement.expectedInTime(state, context)
+        && (AdmissionLimit.hasCapacity(state, context)
+            || AdmissionLimit.mayExceedKnee(state, context));
   }
 
   private PlacementContext context() {
--- a/bench/src/main/java/org/magnoliaswitch/bench/model/FrontNode.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/FrontNode.java
@@ -111,16 +111,16 @@
   }
 
   private List<ServerState> subset(List<ServerState> servers) {
-    if (!rules.mechanisms().on(Mechanism.SUBSET)) {
+    if (!rules.mechanisms().enabled(Mechanism.SUBSET)) {
       return servers;
     }
-    boolean replaced = rules.mechanisms().on(Mechanism.REPLACEMENTS);
+    boolean replaced = rules.mechanisms().enabled(Mechanism.REPLACEMENTS);
     return ServerSubset.withReplacements(servers, replaced ? unreachable : Set.of(), this::part);
   }
 
   private List<ServerState> part(List<ServerState> servers) {
     int size = rules.subset().size(servers.size(), world.deployment().instances());
-    return ServerSubset.of(
+    return ServerSubset.select(
         servers, size, ServerState::entry, "instance-" + index, World.dataCentre(index));
   }
 
@@ -163,7 +163,7 @@
 
   private void sampled(ServerState state, LoadSample sample) {
     state.sampled(sample, state.inFlight(), world.time().nanos());
-    routes.load(state.entry().service()).sampled(sample);
+    routes.load(state.entry().service()).recordSample(sample);
   }
 
   double slowness(ServerState state) {
--- a/bench/src/main/java/org/magnoliaswitch/bench/model/IdealPolicy.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/IdealPolicy.java
@@ -67,7 +67,7 @@
     Optional<ModelServer> best =
         world.servers(service).stream()
             .filter(server -> !server.lost() && suits(server, waiting))
-            .min(Comparator.comparingDouble(server -> server.sample().held()));
+            .min(Comparator.comparingDouble(server -> server.sample().outstanding()));
     best.ifPresent(server -> send(waiting, server));
     return best.isPresent();
   }
--- a/front/src/main/java/org/magnoliaswitch/front/load/AdmissionLimit.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/AdmissionLimit.java
@@ -32,7 +32,7 @@
   }
 
   private static boolean yields(PlacementContext context) {
-    return context.on(Mechanism.YIELDING) && context.load().pressed();
+    return context.enabled(Mechanism.YIELDING) && context.load().underPressure();
   }
 
   /**
@@ -47,8 +47,8 @@
    * callers with long patience kept half of the slots busy with answers that came too late, and the
    * service did not recover.
    */
-  public static boolean hasRoom(ServerState server, PlacementContext context) {
-    if (!context.on(Mechanism.KNEE_BOUND)) {
+  public static boolean hasCapacity(ServerState server, PlacementContext context) {
+    if (!context.enabled(Mechanism.KNEE_BOUND)) {
       return true;
     }
     if (!server.hasSample()) {
@@ -56,7 +56,8 @@
       return !context.load().reporting() || server.inFlight() == 0;
     }
     double limit = Math.max(1, Math.floor(share(context) * server.sample().slots()));
-    double held = Placement.held(server, context.load().meanHeld(), context.nowNanos());
+    double held =
+        Placement.expectedOutstanding(server, context.load().meanOutstanding(), context.nowNanos());
     return held + 1 <= limit + ROUNDING;
   }
 
@@ -68,15 +69,16 @@
    * server quick, one of two leaves half of it unused: with both at work it serves more, though
    * each answer takes longer. So the slot is filled if that serves more and the answer is in time.
    */
-  public static boolean mayFill(ServerState server, PlacementContext context) {
-    if (!context.on(Mechanism.LAST_SLOT)
+  public static boolean mayExceedKnee(ServerState server, PlacementContext context) {
+    if (!context.enabled(Mechanism.LAST_SLOT)
         || context.timeliness() == Timeliness.LATE
         || !server.hasSample()) {
       return false;
     }
     double slots = server.sample().slots();
     double quick = Math.max(1, Math.floor(KNEE * slots));
-    double held = Placement.held(server, context.load().meanHeld(), context.nowNanos());
+    double held =
+        Placement.expectedOutstanding(server, context.load().meanOutstanding(), context.nowNanos());
     boolean servesMore = slots / Placement.KNEE_FACTOR > quick;
     boolean free = held + 1 <= slots + ROUNDING;
     return servesMore
--- a/front/src/main/java/org/magnoliaswitch/front/load/LoadSample.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/LoadSample.java
@@ -35,14 +35,14 @@
   }
 
   /** The load once one request that this sample counts has left. */
-  public LoadSample withoutOne() {
+  public LoadSample withoutOneRequest() {
     return waiting > 0
         ? new LoadSample(running, waiting - 1, slots, slowness)
         : new LoadSample(Math.max(0, running - 1), 0, slots, slowness);
   }
 
   /** Requests that the server holds. */
-  public int held() {
+  public int outstanding() {
     return running + waiting;
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/load/Mechanisms.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/Mechanisms.java
@@ -17,7 +17,7 @@
   }
 
   /** Whether a mechanism is in force. */
-  public boolean on(Mechanism mechanism) {
+  public boolean enabled(Mechanism mechanism) {
     return !disabled.contains(mechanism);
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/load/PendingQueue.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/PendingQueue.java
@@ -32,7 +32,7 @@
   private final Map<String, PriorityQueue<T>> byService = new HashMap<>();
 
   public PendingQueue(Mechanisms mechanisms) {
-    this.order = mechanisms.on(Mechanism.LINE_ORDER) ? byTimeliness() : byAge();
+    this.order = mechanisms.enabled(Mechanism.LINE_ORDER) ? byTimeliness() : byAge();
   }
 
   private static <T extends Entry> Comparator<T> byTimeliness() {
@@ -65,7 +65,7 @@
   }
 
   /** The request that goes next. */
-  public Optional<T> first(String service) {
+  public Optional<T> peek(String service) {
     PriorityQueue<T> line = byService.get(service);
     return line == null ? Optional.empty() : Optional.ofNullable(line.peek());
   }
--- a/front/src/main/java/org/magnoliaswitch/front/load/Placement.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/Placement.java
@@ -60,9 +60,9 @@
   /**
    * A server with the cost of sending a request there.
    *
-   * @param fits whether the answer can be expected in the time that it is allowed
+   * @param expectedInTime whether the answer can be expected in the time that it is allowed
    */
-  public record Ranked(ServerState server, double cost, boolean fits) {}
+  public record Ranked(ServerState server, double cost, boolean expectedInTime) {}
 
   /** The servers by rising cost. */
   public static List<Ranked> rank(
@@ -70,7 +70,7 @@
     List<Ranked> ranked = new ArrayList<>(eligible.size());
     for (ServerState server : eligible) {
       double cost = cost(server, context) + NOISE * random.nextDouble();
-      ranked.add(new Ranked(server, cost, fits(server, context)));
+      ranked.add(new Ranked(server, cost, expectedInTime(server, context)));
     }
     ranked.sort(Comparator.comparingDouble(Ranked::cost));
     return ranked;
@@ -87,9 +87,9 @@
    * <p>What lasts does not count: a service whose only server was slow lately, or whose usual
    * latency was learnt on a bad day, would get no request, and so never show that it is well again.
    */
-  public static boolean fits(ServerState server, PlacementContext context) {
+  public static boolean expectedInTime(ServerState server, PlacementContext context) {
     double usual = context.expectedNanos();
-    if (!context.on(Mechanism.START_IN_TIME) || usual > context.allowedNanos()) {
+    if (!context.enabled(Mechanism.START_IN_TIME) || usual > context.allowedNanos()) {
       return true;
     }
     double slowness = slowness(server, context.load(), context.nowNanos());
@@ -102,10 +102,10 @@
     double ratio = latency / Math.max(1, context.allowedNanos());
     double late = 1 / (1 + Math.exp(-LATE_STEEPNESS * (ratio - 1)));
     double failure =
-        context.on(Mechanism.FAILURE_MEMORY) ? server.failureShare(context.nowNanos()) : 0;
+        context.enabled(Mechanism.FAILURE_MEMORY) ? server.failureShare(context.nowNanos()) : 0;
     double inTime = LATE_LOSS * late + LATENCY_LOSS * Math.min(2, ratio);
     boolean near = server.entry().dataCentre().equals(context.dataCentre());
-    double remote = near || !context.on(Mechanism.NEAR_FIRST) ? 0 : REMOTE_LOSS;
+    double remote = near || !context.enabled(Mechanism.NEAR_FIRST) ? 0 : REMOTE_LOSS;
     double connect = server.idleConnections() > 0 ? 0 : CONNECT_LOSS;
     return failure + (1 - failure) * inTime + fullness(server, context) + remote + connect;
   }
@@ -114,25 +114,29 @@
   public static double predictedNanos(ServerState server, PlacementContext context) {
     double slowness = slowness(server, context.load(), context.nowNanos());
     double slots = server.sample().slots();
-    double held = held(server, context.load().meanHeld(), context.nowNanos()) + 1;
+    double held =
+        expectedOutstanding(server, context.load().meanOutstanding(), context.nowNanos()) + 1;
     double knee = held > AdmissionLimit.KNEE * slots ? KNEE_FACTOR : 1;
     double waves = Math.max(0, held - slots) / slots;
-    boolean starting = server.cold(context.nowNanos()) && context.on(Mechanism.WARMTH);
+    boolean starting = server.cold(context.nowNanos()) && context.enabled(Mechanism.WARMTH);
     double cold = starting ? COLD_FACTOR : 1;
-    double own = context.on(Mechanism.LATENCY_MEMORY) ? server.latencyRatio(context.nowNanos()) : 1;
+    double own =
+        context.enabled(Mechanism.LATENCY_MEMORY) ? server.latencyRatio(context.nowNanos()) : 1;
     return context.expectedNanos() * slowness * cold * own * (knee + waves);
   }
 
   /** Requests that a server is expected to hold. */
-  public static double held(ServerState server, double meanHeld, long nowNanos) {
-    double known = server.sample().held() - meanHeld;
+  public static double expectedOutstanding(ServerState server, double meanHeld, long nowNanos) {
+    double known = server.sample().outstanding() - meanHeld;
     double reported = meanHeld + known * fade(server, nowNanos);
     return Math.max(server.inFlight(), reported + server.ownSinceSample());
   }
 
   private static double fullness(ServerState server, PlacementContext context) {
     double room = QUEUE_FACTOR * server.sample().slots();
-    return held(server, context.load().meanHeld(), context.nowNanos()) >= room ? FULL_LOSS : 0;
+    return expectedOutstanding(server, context.load().meanOutstanding(), context.nowNanos()) >= room
+        ? FULL_LOSS
+        : 0;
   }
 
   /** How much longer work that starts now takes at a server, as far as its last sample tells. */
--- a/front/src/main/java/org/magnoliaswitch/front/load/PlacementContext.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/PlacementContext.java
@@ -20,7 +20,7 @@
     Mechanisms mechanisms,
     long nowNanos) {
   /** Whether a mechanism is in force. */
-  boolean on(Mechanism mechanism) {
-    return mechanisms.on(mechanism);
+  boolean enabled(Mechanism mechanism) {
+    return mechanisms.enabled(mechanism);
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/load/RetryAfter.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/RetryAfter.java
@@ -42,8 +42,8 @@
    */
   public static long nanos(
       Cause cause, double usualNanos, RandomGenerator random, Mechanisms mechanisms) {
-    double place = mechanisms.on(Mechanism.SPREAD_RETURNS) ? random.nextDouble() : MIDDLE;
-    boolean prompt = cause == Cause.REJECTED && mechanisms.on(Mechanism.PROMPT_RETURNS);
+    double place = mechanisms.enabled(Mechanism.SPREAD_RETURNS) ? random.nextDouble() : MIDDLE;
+    boolean prompt = cause == Cause.REJECTED && mechanisms.enabled(Mechanism.PROMPT_RETURNS);
     return switch (prompt ? Cause.REJECTED : Cause.BUSY) {
       case BUSY -> (long) (usualNanos * (BUSY_LEAST + BUSY_SPAN * place));
       case REJECTED -> (long) (usualNanos * REJECTED_SPAN * place);
--- a/front/src/main/java/org/magnoliaswitch/front/load/ServerSelection.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/ServerSelection.java
@@ -56,10 +56,10 @@
   }
 
   private static List<Integer> rounds(PlacementContext context) {
-    if (!context.on(Mechanism.ASKING)) {
+    if (!context.enabled(Mechanism.ASKING)) {
       return List.of();
     }
-    return context.on(Mechanism.FURTHER_ROUNDS) ? ROUNDS : SINGLE_ROUND;
+    return context.enabled(Mechanism.FURTHER_ROUNDS) ? ROUNDS : SINGLE_ROUND;
   }
 
   /**
@@ -80,7 +80,7 @@
       return step;
     }
     if (round >= rounds.size()) {
-      boolean asked = !rounds.isEmpty() && context.on(Mechanism.KNOWN_ROOM);
+      boolean asked = !rounds.isEmpty() && context.enabled(Mechanism.KNOWN_ROOM);
       return asked ? amongKnown(ranked, context, step) : step;
     }
     List<ServerState> unsure =
@@ -104,9 +104,10 @@
     if (ranked.isEmpty()) {
       return new Step.NoServer();
     }
-    List<ServerState> fitting = ranked.stream().filter(Ranked::fits).map(Ranked::server).toList();
-    return first(fitting, server -> AdmissionLimit.hasRoom(server, context))
-        .or(() -> first(fitting, server -> AdmissionLimit.mayFill(server, context)))
+    List<ServerState> fitting =
+        ranked.stream().filter(Ranked::expectedInTime).map(Ranked::server).toList();
+    return first(fitting, server -> AdmissionLimit.hasCapacity(server, context))
+        .or(() -> first(fitting, server -> AdmissionLimit.mayExceedKnee(server, context)))
         .<Step>map(Step.Send::new)
         .orElseGet(Step.AllBusy::new);
   }
--- a/front/src/main/java/org/magnoliaswitch/front/load/ServerSubset.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/ServerSubset.java
@@ -60,7 +60,7 @@
   }
 
   /** The same right after a start, when all instances may have started at once. */
-  public static int sizeAtStart(int servers) {
+  public static int initialSize(int servers) {
     return Math.min(servers, AT_START);
   }
 
@@ -72,7 +72,7 @@
    * @param instance name of the instance
    * @param dataCentre where it runs
    */
-  public static <T> List<T> of(
+  public static <T> List<T> select(
       List<T> servers,
       int size,
       Function<T, ServerEntry> entry,
--- a/front/src/main/java/org/magnoliaswitch/front/load/ServiceLoad.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/ServiceLoad.java
@@ -23,16 +23,16 @@
   /** Slowness assumed before the first samples: a quarter of the servers four times slower. */
   private static final double INITIAL_SLOWNESS = 1.75;
 
-  private double meanHeld;
+  private double meanOutstanding;
   private double meanSlowness = INITIAL_SLOWNESS;
   private boolean answersCountThemselves = true;
   private double waitedShare;
   private boolean reporting = true;
 
   /** Takes a sample of any server of the service. */
-  public void sampled(LoadSample sample) {
+  public void recordSample(LoadSample sample) {
     reporting = true;
-    meanHeld += WEIGHT * (sample.held() - meanHeld);
+    meanOutstanding += WEIGHT * (sample.outstanding() - meanOutstanding);
     meanSlowness += SLOWNESS_WEIGHT * (sample.slowness() - meanSlowness);
   }
 
@@ -45,27 +45,27 @@
    * counts nothing shows that this service's servers do not.
    */
   public LoadSample afterAnswer(LoadSample told, Mechanisms mechanisms) {
-    if (!mechanisms.on(Mechanism.EXACT_REPORTS)) {
+    if (!mechanisms.enabled(Mechanism.EXACT_REPORTS)) {
       return told;
     }
     if (told.running() == 0) {
       answersCountThemselves = false;
     }
-    return answersCountThemselves ? told.withoutOne() : told;
+    return answersCountThemselves ? told.withoutOneRequest() : told;
   }
 
   /** Notes a health check whose answer told no load: asking again would only take a slot. */
-  public void toldNothing() {
+  public void markNotReporting() {
     reporting = false;
   }
 
   /** Notes whether a request that could be in time found room at once. */
-  public void sought(boolean found) {
-    waitedShare += PRESSURE_WEIGHT * ((found ? 0 : 1) - waitedShare);
+  public void recordSearch(boolean foundCapacity) {
+    waitedShare += PRESSURE_WEIGHT * ((foundCapacity ? 0 : 1) - waitedShare);
   }
 
   /** Whether requests that could be in time have to wait for room. */
-  public boolean pressed() {
+  public boolean underPressure() {
     return waitedShare > PRESSED_SHARE;
   }
 
@@ -80,7 +80,7 @@
   }
 
   /** Requests that a server of the service holds on average. */
-  public double meanHeld() {
-    return meanHeld;
+  public double meanOutstanding() {
+    return meanOutstanding;
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerGroups.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerGroups.java
@@ -101,8 +101,8 @@
 
   private List<ServerPool> used(List<ServerPool> pools) {
     Mechanisms mechanisms = settings.mechanisms();
-    Set<ServerPool> avoided = mechanisms.on(Mechanism.REPLACEMENTS) ? unavailable : Set.of();
-    return mechanisms.on(Mechanism.SUBSET)
+    Set<ServerPool> avoided = mechanisms.enabled(Mechanism.REPLACEMENTS) ? unavailable : Set.of();
+    return mechanisms.enabled(Mechanism.SUBSET)
         ? ServerSubset.withReplacements(pools, avoided, this::subset)
         : pools;
   }
@@ -111,8 +111,8 @@
     int size =
         instances.settled()
             ? ServerSubset.size(pools.size(), instances.count())
-            : ServerSubset.sizeAtStart(pools.size());
-    return ServerSubset.of(
+            : ServerSubset.initialSize(pools.size());
+    return ServerSubset.select(
         pools, size, pool -> pool.state().entry(), settings.instance(), settings.dataCentre());
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
@@ -79,7 +79,7 @@
   void start(boolean idempotent) {
     pool.state().sent();
     boolean anyKept =
-        idempotent || !environment.settings().mechanisms().on(Mechanism.FRESH_CONNECTIONS);
+        idempotent || !environment.settings().mechanisms().enabled(Mechanism.FRESH_CONNECTIONS);
     Optional<ServerConnection> kept = pool.takeIdle(anyKept ? MAX_IDLE_NANOS : MAX_IDLE_ONCE_NANOS);
     if (kept.isPresent()) {
       write(kept.get());
@@ -202,7 +202,7 @@
         .add("request", requestId)
         .add("server", serverId())
         .add("left_ms", leftMillis)
-        .add("held", pool.state().sample().held())
+        .add("held", pool.state().sample().outstanding())
         .addDecimal("slowness", pool.state().sample().slowness())
         .add("sample_age_ms", TimeUnit.NANOSECONDS.toMillis(pool.state().sampleAgeNanos(sentNanos)))
         .add("in_flight", pool.state().inFlight())
@@ -274,7 +274,7 @@
     ServiceLoad service = serviceLoad();
     LoadSample sample = service.afterAnswer(told, environment.settings().mechanisms());
     pool.state().sampled(sample, own, environment.clocks().nanos());
-    service.sampled(sample);
+    service.recordSample(sample);
   }
 
   private ServiceLoad serviceLoad() {
--- a/front/src/main/java/org/magnoliaswitch/front/request/FirstConfiguration.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/FirstConfiguration.java
@@ -45,6 +45,8 @@
   }
 
   private long waitNanos() {
-    return environment.settings().mechanisms().on(Mechanism.FIRST_CONFIGURATION) ? WAIT_NANOS : 0;
+    return environment.settings().mechanisms().enabled(Mechanism.FIRST_CONFIGURATION)
+        ? WAIT_NANOS
+        : 0;
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/request/FurtherSends.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/FurtherSends.java
@@ -45,7 +45,7 @@
 
   /** Whether one may follow a send that a server has rejected; it is taken from the budget. */
   boolean mayFollowRejection() {
-    boolean ordered = environment.settings().mechanisms().on(Mechanism.LAST_TRIES_FIRST);
+    boolean ordered = environment.settings().mechanisms().enabled(Mechanism.LAST_TRIES_FIRST);
     return mayFollow(ordered ? times.fallback() : CallerRetry.NONE);
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/request/Placing.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Placing.java
@@ -120,7 +120,7 @@
 
   /** A server's answer has told of room there: the first in line may take it. */
   void offerRoom(ServerState server) {
-    Optional<Placing> first = pending.first(service);
+    Optional<Placing> first = pending.peek(service);
     if (first.isPresent() && finder.suits(server, first.get().query())) {
       // Deferred, so that the connection that brought the answer is back in its pool.
       loop.execute(() -> first.get().offered(server));
@@ -172,7 +172,7 @@
     double limit =
         WaitLimit.nanos(
             times.timeliness(), times.usualNanos(), route.objectiveNanos(), times.patienceNanos());
-    if (times.waitedNanos() + leastNanos > limit || !mechanisms.on(Mechanism.WAITING)) {
+    if (times.waitedNanos() + leastNanos > limit || !mechanisms.enabled(Mechanism.WAITING)) {
       owner.giveUp("no_room", RetryAfter.Cause.BUSY);
       return;
     }
--- a/front/src/main/java/org/magnoliaswitch/front/request/Probes.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Probes.java
@@ -200,7 +200,7 @@
 
     private void sampled(LoadSample sample, int own) {
       pool.state().sampled(sample, own, environment.clocks().nanos());
-      environment.routeState().load(service()).sampled(sample);
+      environment.routeState().load(service()).recordSample(sample);
     }
 
     private void learnWarmup(@Nullable String leftMillis) {
@@ -226,7 +226,7 @@
       learnWarmup(whole.headers().get(environment.names().warmupLeft()));
       String load = whole.headers().get(environment.names().load());
       if (load == null) {
-        environment.routeState().load(service()).toldNothing();
+        environment.routeState().load(service()).markNotReporting();
       } else {
         int own = pool.state().inFlight();
         LoadSample.parse(load).ifPresent(sample -> sampled(sample, own));
--- a/front/src/main/java/org/magnoliaswitch/front/request/RequestReport.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RequestReport.java
@@ -68,7 +68,7 @@
         .add("request", requestId)
         .add("service", service)
         .add("servers", environment.servers().of(service).size())
-        .addDecimal("mean_held", environment.routeState().load(service).meanHeld())
+        .addDecimal("mean_held", environment.routeState().load(service).meanOutstanding())
         .add("chance", times.timeliness().name().toLowerCase(Locale.ROOT))
         .add("in_line", inLine)
         .add("limit_ms", (long) limitNanos / NANOS_PER_MILLI)
--- a/front/src/main/java/org/magnoliaswitch/front/request/RoutedExchange.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RoutedExchange.java
@@ -85,7 +85,7 @@
   }
 
   private Optional<Hedge> hedge() {
-    boolean allowed = environment.settings().mechanisms().on(Mechanism.HEDGING);
+    boolean allowed = environment.settings().mechanisms().enabled(Mechanism.HEDGING);
     return allowed && route.idempotent()
         ? Optional.of(new Hedge(this, environment.loop(), placing, times))
         : Optional.empty();
--- a/front/src/main/java/org/magnoliaswitch/front/request/ServerSearch.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/ServerSearch.java
@@ -97,7 +97,7 @@
   @Override
   public void sought(String service, Timeliness timeliness, boolean found) {
     if (timeliness == Timeliness.IN_TIME) {
-      environment.routeState().load(service).sought(found);
+      environment.routeState().load(service).recordSearch(found);
     }
   }
 
@@ -106,8 +106,9 @@
     PlacementContext context = context(query);
     return mayGet(server, query)
         && environment.quotas().allowed(server)
-        && Placement.fits(server, context)
-        && (AdmissionLimit.hasRoom(server, context) || AdmissionLimit.mayFill(server, context));
+        && Placement.expectedInTime(server, context)
+        && (AdmissionLimit.hasCapacity(server, context)
+            || AdmissionLimit.mayExceedKnee(server, context));
   }
 
   private List<Ranked> rank(ServerQuery query, Set<String> excluded) {
--- a/front/src/test/java/org/magnoliaswitch/front/load/AdmissionLimitTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/AdmissionLimitTest.java
@@ -14,14 +14,14 @@
   private static ServiceLoad service(int meanHeld) {
     ServiceLoad load = new ServiceLoad();
     for (int i = 0; i < 200; i++) {
-      load.sampled(new LoadSample(meanHeld, 0, Servers.SLOTS, 1));
+      load.recordSample(new LoadSample(meanHeld, 0, Servers.SLOTS, 1));
     }
     return load;
   }
 
   private static boolean hasRoom(
       ServerState server, ServiceLoad service, Timeliness timeliness, long nowNanos) {
-    return AdmissionLimit.hasRoom(server, Servers.context(timeliness, service, nowNanos));
+    return AdmissionLimit.hasCapacity(server, Servers.context(timeliness, service, nowNanos));
   }
 
   @DataProvider
@@ -74,7 +74,7 @@
     ServerState server = new ServerState(Servers.entry("a", false), NOW);
     server.sent();
     ServiceLoad silent = new ServiceLoad();
-    silent.toldNothing();
+    silent.markNotReporting();
     assertEquals(hasRoom(server, silent, Timeliness.LATE, NOW), true);
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/load/LoadReplayTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/LoadReplayTest.java
@@ -109,7 +109,7 @@
       ServerState state = states.get(instance).get(server);
       LoadSample sample = models.get(server).sample();
       state.sampled(sample, state.inFlight(), now);
-      loads.get(instance).sampled(sample);
+      loads.get(instance).recordSample(sample);
     }
 
     private void offer(double now) {
@@ -144,7 +144,7 @@
       PlacementContext context = context(instance, now);
       return ranked.stream()
           .map(Ranked::server)
-          .filter(server -> AdmissionLimit.hasRoom(server, context))
+          .filter(server -> AdmissionLimit.hasCapacity(server, context))
           .findFirst();
     }
 
--- a/front/src/test/java/org/magnoliaswitch/front/load/PlacementTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/PlacementTest.java
@@ -24,7 +24,7 @@
   private static ServiceLoad service() {
     ServiceLoad load = new ServiceLoad();
     for (int i = 0; i < 200; i++) {
-      load.sampled(new LoadSample(1, 0, Servers.SLOTS, 1.75));
+      load.recordSample(new LoadSample(1, 0, Servers.SLOTS, 1.75));
     }
     return load;
   }
@@ -141,8 +141,8 @@
     @Test
     public void notWhereAnAnswerWouldBeLateBecauseOfTheMoment() {
       ServerState slow = Servers.told("slow", 0, 5, NOW);
-      assertFalse(Placement.fits(slow, allowed(160, 400)));
-      assertTrue(Placement.fits(slow, allowed(160, 800)));
+      assertFalse(Placement.expectedInTime(slow, allowed(160, 400)));
+      assertTrue(Placement.expectedInTime(slow, allowed(160, 800)));
     }
 
     /**
@@ -155,7 +155,7 @@
       for (int i = 0; i < 10; i++) {
         recovered.succeeded(20, NOW);
       }
-      assertTrue(Placement.fits(recovered, allowed(160, 400)));
+      assertTrue(Placement.expectedInTime(recovered, allowed(160, 400)));
     }
 
     /**
@@ -164,7 +164,7 @@
      */
     @Test
     public void alsoWhereNothingSeemsToBeInTime() {
-      assertTrue(Placement.fits(Servers.told("a", 0, 1, NOW), allowed(3_000, 1_200)));
+      assertTrue(Placement.expectedInTime(Servers.told("a", 0, 1, NOW), allowed(3_000, 1_200)));
     }
   }
 
--- a/front/src/test/java/org/magnoliaswitch/front/load/ProbeShareTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/ProbeShareTest.java
@@ -31,7 +31,7 @@
     Map<String, Double> asked = new HashMap<>();
     for (int instance = 0; instance < instances; instance++) {
       List<ServerEntry> used =
-          ServerSubset.of(
+          ServerSubset.select(
               servers,
               ServerSubset.size(count, instances),
               Function.identity(),
--- a/front/src/test/java/org/magnoliaswitch/front/load/ServerSubsetTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/ServerSubsetTest.java
@@ -30,7 +30,7 @@
   }
 
   private static List<ServerEntry> subset(List<ServerEntry> servers, int instance, int instances) {
-    return ServerSubset.of(
+    return ServerSubset.select(
         servers,
         ServerSubset.size(servers.size(), instances),
         Function.identity(),
--- a/front/src/test/java/org/magnoliaswitch/front/load/ServiceLoadTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/ServiceLoadTest.java
@@ -19,15 +19,15 @@
    */
   @Test
   public void anAnswerLeavesTheLoadThatItsReportCounts() {
-    assertEquals(afterAnswer(new LoadSample(2, 0, 3, 1)).held(), 1);
+    assertEquals(afterAnswer(new LoadSample(2, 0, 3, 1)).outstanding(), 1);
     assertEquals(afterAnswer(new LoadSample(3, 2, 3, 1)), new LoadSample(3, 1, 3, 1));
   }
 
   /** A report of nothing at work cannot count the request that it comes with. */
   @Test
   public void serversThatDoNotCountTheAnsweredRequestAreTakenAtTheirWord() {
-    assertEquals(afterAnswer(new LoadSample(0, 0, 3, 1)).held(), 0);
-    assertEquals(afterAnswer(new LoadSample(2, 0, 3, 1)).held(), 2);
+    assertEquals(afterAnswer(new LoadSample(0, 0, 3, 1)).outstanding(), 0);
+    assertEquals(afterAnswer(new LoadSample(2, 0, 3, 1)).outstanding(), 2);
   }
 
   /** Before any news a quarter of the servers is taken for slow; after some seconds none is. */
@@ -35,7 +35,7 @@
   public void theUsualSlownessIsLearnt() {
     assertEquals(load.meanSlowness(), 1.75, 0.001);
     for (int i = 0; i < 300; i++) {
-      load.sampled(new LoadSample(1, 0, 3, 1));
+      load.recordSample(new LoadSample(1, 0, 3, 1));
     }
     assertEquals(load.meanSlowness(), 1, 0.01);
   }
--- a/front/src/test/java/org/magnoliaswitch/front/request/WaitingRequestTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/WaitingRequestTest.java
@@ -90,7 +90,7 @@
           .loop()
           .execute(
               () -> {
-                pending.first("s").orElseThrow().offered(state);
+                pending.peek("s").orElseThrow().offered(state);
                 finder.searches.getLast().accept(new ServerFinder.Result.Chosen(state));
               });
       answered.await();
