--- a/bench/src/main/java/org/magnoliaswitch/bench/model/FrontExchange.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/FrontExchange.java
@@ -70,7 +70,7 @@
   }
 
   void start() {
-    node.routes().budget(service()).request(now());
+    node.routes().budget(service()).recordRequest(now());
     node.world().time().after(request.deadlineNanos() - now(), this::callerLeft);
     place();
   }
@@ -86,7 +86,7 @@
   private void cancel(Send send) {
     if (!send.ended) {
       send.ended = true;
-      send.state.ended();
+      send.state.requestEnded();
       node.pool(send.state).closed();
       node.model(send.state).cancel(send.job);
     }
@@ -205,7 +205,7 @@
     }
     sends++;
     tried.add(state);
-    state.sent();
+    state.requestStarted();
     node.pool(state).takeForRequest(request.kind().route().idempotent());
     node.world().scoreboard().sent(node.near(state));
     long sentNanos = now();
@@ -235,7 +235,7 @@
     if (done || send.ended) {
       return;
     }
-    send.state.overdue((now() - sentNanos) / usual, now());
+    send.state.recordOverdue((now() - sentNanos) / usual, now());
     if (mechanisms().enabled(Mechanism.HEDGING)
         && request.kind().route().idempotent()
         && maySend()) {
@@ -275,9 +275,9 @@
       return;
     }
     send.ended = true;
-    send.state.ended();
+    send.state.requestEnded();
     node.pool(send.state).giveBack();
-    send.state.failed(now());
+    send.state.recordFailure(now());
     node.sampled(send.state);
     open.remove(send);
     if (done || !open.isEmpty()) {
@@ -299,7 +299,7 @@
       return;
     }
     send.ended = true;
-    send.state.ended();
+    send.state.requestEnded();
     node.pool(send.state).giveBack();
     node.answered(send.state, told);
     learn(send.state, now() - sentNanos, send.slowness);
@@ -317,7 +317,7 @@
     if (first.isPresent() && first.get().suits(state)) {
       first.get().offered(state);
     }
-    state.succeeded(tookNanos / (baseline.nanos() * slowness), now());
+    state.recordSuccess(tookNanos / (baseline.nanos() * slowness), now());
     baseline.learn(tookNanos / slowness);
   }
 
--- a/bench/src/main/java/org/magnoliaswitch/bench/model/FrontNode.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/FrontNode.java
@@ -103,7 +103,7 @@
 
   /** Nobody listens at a server's address. */
   void unreachable(ServerState state) {
-    state.failed(world.time().nanos());
+    state.recordFailure(world.time().nanos());
     if (unreachable.add(state)) {
       String service = state.entry().service();
       states.put(service, subset(all.get(service)));
@@ -162,7 +162,7 @@
   }
 
   private void sampled(ServerState state, LoadSample sample) {
-    state.sampled(sample, state.inFlight(), world.time().nanos());
+    state.recordSample(sample, state.inFlight(), world.time().nanos());
     routes.load(state.entry().service()).recordSample(sample);
   }
 
@@ -174,6 +174,6 @@
   boolean mayRepeat(String service, CallerRetry fallback) {
     return routes
         .budget(service)
-        .spend(fallback, world.deployment().instances(), world.time().nanos());
+        .trySpend(fallback, world.deployment().instances(), world.time().nanos());
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/load/Backpressure.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/Backpressure.java
@@ -11,17 +11,17 @@
   private boolean paused;
   private long pausedUntilNanos;
   private OptionalDouble requestsPerSecond = OptionalDouble.empty();
-  private long limitHeardNanos;
+  private long limitReceivedNanos;
 
   /**
    * Takes the notice in the answer to a request that the server has run.
    *
    * @param sentNanos when the request was sent
    */
-  public void answered(ServerNotice notice, long sentNanos, long nowNanos) {
-    take(notice, nowNanos);
+  public void recordAnswer(ServerNotice notice, long sentNanos, long nowNanos) {
+    recordNotice(notice, nowNanos);
     // Answers overtake each other: only one to a later request shows that the limit has ended.
-    if (notice.requestsPerSecond().isEmpty() && sentNanos - limitHeardNanos > 0) {
+    if (notice.requestsPerSecond().isEmpty() && sentNanos - limitReceivedNanos > 0) {
       requestsPerSecond = OptionalDouble.empty();
     }
   }
@@ -30,18 +30,18 @@
    * Takes the notice in the answer to a health check or to a request that was turned away. It does
    * not lift a limit: a server may leave the limit out of such answers.
    */
-  public void take(ServerNotice notice, long nowNanos) {
+  public void recordNotice(ServerNotice notice, long nowNanos) {
     leaving |= notice.leaving();
-    takePause(notice, nowNanos);
+    extendPause(notice, nowNanos);
     if (notice.requestsPerSecond().isPresent()) {
       requestsPerSecond = notice.requestsPerSecond();
-      limitHeardNanos = nowNanos;
+      limitReceivedNanos = nowNanos;
     }
   }
 
   /** The longest pause counts: a server that is asked once more may name less than what is left. */
-  private void takePause(ServerNotice notice, long nowNanos) {
-    if (notice.pauseNanos() > pauseLeftNanos(nowNanos)) {
+  private void extendPause(ServerNotice notice, long nowNanos) {
+    if (notice.pauseNanos() > remainingPauseNanos(nowNanos)) {
       paused = true;
       pausedUntilNanos = nowNanos + notice.pauseNanos();
     }
@@ -53,7 +53,7 @@
   }
 
   /** Time left of the pause that the server asked this instance for; 0 once it has passed. */
-  public long pauseLeftNanos(long nowNanos) {
+  public long remainingPauseNanos(long nowNanos) {
     paused &= pausedUntilNanos - nowNanos > 0;
     return paused ? pausedUntilNanos - nowNanos : 0;
   }
@@ -67,12 +67,12 @@
    * Whether the server may be asked for its load. A health check is a request, too, and would
    * double what a server gets that asked for less.
    */
-  public boolean allowsChecks(long nowNanos) {
-    return requestsPerSecond.isEmpty() && pauseLeftNanos(nowNanos) == 0;
+  public boolean allowsProbes(long nowNanos) {
+    return requestsPerSecond.isEmpty() && remainingPauseNanos(nowNanos) == 0;
   }
 
   /** Time since the server last named its limit. */
   public long limitAgeNanos(long nowNanos) {
-    return nowNanos - limitHeardNanos;
+    return nowNanos - limitReceivedNanos;
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/load/ServerState.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/ServerState.java
@@ -53,17 +53,17 @@
   private LoadSample sample;
   private long sampleNanos;
   private int ownAtSample;
-  private boolean sampled;
+  private boolean hasSample;
   private double failureShare;
   private long failureNanos;
   private double latencyRatio = 1;
   private long latencyNanos;
   private boolean unreachable;
   private long unreachableNanos;
-  private boolean gone;
+  private boolean removed;
   private boolean evacuated;
-  private boolean coldnessTold = true;
-  private final SendWindow written = new SendWindow(RateLimitShare.WINDOW_NANOS);
+  private boolean warmupConfirmed = true;
+  private final SendWindow recentWrites = new SendWindow(RateLimitShare.WINDOW_NANOS);
   private final Backpressure backpressure;
 
   public ServerState(ServerEntry entry, long nowNanos) {
@@ -91,20 +91,20 @@
   }
 
   /** Takes the server's own word on how long it stays cold. */
-  public void warmupTold(long leftNanos, long nowNanos) {
+  public void recordWarmup(long leftNanos, long nowNanos) {
     coldUntilNanos = nowNanos + leftNanos;
-    coldnessTold = true;
+    warmupConfirmed = true;
   }
 
   /** It may have become cold, and stays so for a time unless it says otherwise. */
   public void assumeCold(long spanNanos, long nowNanos) {
     lengthenWarmup(spanNanos, nowNanos);
-    coldnessTold = false;
+    warmupConfirmed = false;
   }
 
   /** Whether it counts as cold and its own word on that is not known. */
-  public boolean coldnessUnknown(long nowNanos) {
-    return !coldnessTold && cold(nowNanos);
+  public boolean warmupUnconfirmed(long nowNanos) {
+    return !warmupConfirmed && cold(nowNanos);
   }
 
   private void lengthenWarmup(long spanNanos, long nowNanos) {
@@ -114,20 +114,20 @@
   }
 
   /** Counts a request that is about to be written; also while warm, for it may just have cooled. */
-  public void written(long nowNanos) {
-    written.add(nowNanos);
+  public void recordWrite(long nowNanos) {
+    recentWrites.add(nowNanos);
   }
 
   /** Whether it is warm, or got less in the last second than a share allows. */
-  public boolean bears(ColdShare share, long nowNanos) {
-    return !cold(nowNanos) || written.size(SECOND_NANOS, nowNanos) < share.maxPerSecond();
+  public boolean withinColdShare(ColdShare share, long nowNanos) {
+    return !cold(nowNanos) || recentWrites.size(SECOND_NANOS, nowNanos) < share.maxPerSecond();
   }
 
   /** Time until it may get a request as far as a share of its rate limit decides it; 0 for now. */
-  public long waitNanos(RateLimitShare share, long nowNanos) {
+  public long nanosUntilAllowed(RateLimitShare share, long nowNanos) {
     return share.maxPerWindow() == 0
         ? NEVER
-        : written.untilFewerThan(share.maxPerWindow(), RateLimitShare.WINDOW_NANOS, nowNanos);
+        : recentWrites.untilFewerThan(share.maxPerWindow(), RateLimitShare.WINDOW_NANOS, nowNanos);
   }
 
   /** What it asks of its callers. */
@@ -151,47 +151,47 @@
   }
 
   /** Notes that it is no longer listed or at its address, so that it gets nothing more. */
-  public void markGone() {
-    gone = true;
+  public void markRemoved() {
+    removed = true;
   }
 
   /** Notes that no connection to it could be opened. */
-  public void unreachable(long nowNanos) {
+  public void markUnreachable(long nowNanos) {
     unreachable = true;
     unreachableNanos = nowNanos;
   }
 
   /** Whether no connection to it could be opened lately, and it has not told its load since. */
-  public boolean unreachableLately(long nowNanos) {
+  public boolean recentlyUnreachable(long nowNanos) {
     return unreachable && nowNanos - unreachableNanos < UNREACHABLE_NANOS;
   }
 
   /** Whether new requests may go there. */
   public boolean acceptsWork() {
-    return !gone && !evacuated && !entry.draining() && !backpressure.leaving();
+    return !removed && !evacuated && !entry.draining() && !backpressure.leaving();
   }
 
   /** Counts a request that is about to be sent. */
-  public void sent() {
+  public void requestStarted() {
     inFlight++;
   }
 
   /** Counts the end of a request, however it ended. */
-  public void ended() {
+  public void requestEnded() {
     inFlight--;
   }
 
   /** Takes a load sample that came with an answer. */
-  public void sampled(LoadSample next, int ownAmongHeld, long nowNanos) {
+  public void recordSample(LoadSample next, int ownAmongHeld, long nowNanos) {
     sample = next;
     sampleNanos = nowNanos;
     ownAtSample = ownAmongHeld;
-    sampled = true;
+    hasSample = true;
     unreachable = false;
   }
 
   /** Notes a whole answer and how its latency compares with what was expected. */
-  public void succeeded(double ratioToExpected, long nowNanos) {
+  public void recordSuccess(double ratioToExpected, long nowNanos) {
     failureShare = failureShare(nowNanos) * (1 - SUCCESS_WEIGHT);
     failureNanos = nowNanos;
     double bounded = Math.clamp(ratioToExpected, MIN_SPEED_RATIO, MAX_SPEED_RATIO);
@@ -201,7 +201,7 @@
   }
 
   /** Notes that an answer is late already, so that others are not sent to wait behind it. */
-  public void overdue(double ratioToExpected, long nowNanos) {
+  public void recordOverdue(double ratioToExpected, long nowNanos) {
     double before = latencyRatio(nowNanos);
     if (ratioToExpected > before) {
       latencyRatio = before + SPEED_WEIGHT * (ratioToExpected - before);
@@ -210,7 +210,7 @@
   }
 
   /** Notes a failure that says something about the server. */
-  public void failed(long nowNanos) {
+  public void recordFailure(long nowNanos) {
     double before = failureShare(nowNanos);
     failureShare = before + FAILURE_WEIGHT * (1 - before);
     failureNanos = nowNanos;
@@ -238,7 +238,7 @@
 
   /** Whether the server has ever told its load. */
   public boolean hasSample() {
-    return sampled;
+    return hasSample;
   }
 
   /** Age of the last load sample in nanoseconds. */
--- a/front/src/main/java/org/magnoliaswitch/front/load/SharedRetryBudget.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/SharedRetryBudget.java
@@ -26,7 +26,7 @@
   private final double roundUpFrom;
   private final long bucketNanos;
   private final int[] requests = new int[BUCKETS];
-  private final int[] repeats = new int[BUCKETS];
+  private final int[] retries = new int[BUCKETS];
   private long currentBucket = Long.MIN_VALUE;
 
   /**
@@ -63,12 +63,12 @@
   }
 
   /** Counts a request of a caller. */
-  public void request(long nowNanos) {
+  public void recordRequest(long nowNanos) {
     requests[roll(nowNanos)]++;
   }
 
   /** Takes one further send if the budget has room for it. */
-  public boolean spend(CallerRetry fallback, int instances, long nowNanos) {
+  public boolean trySpend(CallerRetry fallback, int instances, long nowNanos) {
     int bucket = roll(nowNanos);
     double all = limits.allowed(sum(requests), instances);
     double allowed =
@@ -77,10 +77,10 @@
           case EXPECTED -> Math.max(RETURNING_SHARE * all, Math.min(1, all));
           case NONE -> all;
         };
-    if (sum(repeats) + roundUpFrom > allowed) {
+    if (sum(retries) + roundUpFrom > allowed) {
       return false;
     }
-    repeats[bucket]++;
+    retries[bucket]++;
     return true;
   }
 
@@ -90,7 +90,7 @@
     for (long i = 0; i < Math.min(BUCKETS, passed); i++) {
       int cleared = Math.floorMod(bucket - i, BUCKETS);
       requests[cleared] = 0;
-      repeats[cleared] = 0;
+      retries[cleared] = 0;
     }
     currentBucket = bucket;
     return Math.floorMod(bucket, BUCKETS);
--- a/front/src/main/java/org/magnoliaswitch/front/process/ColdSends.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ColdSends.java
@@ -49,7 +49,7 @@
     }
     boolean limited = routes.get().warmup(server.entry().service()).limited();
     // An instance that knows of few others would take far too large a share.
-    return (!limited || instances.settled()) && server.bears(share(server), now);
+    return (!limited || instances.settled()) && server.withinColdShare(share(server), now);
   }
 
   /** A connection could not be opened: whoever listens there next may have started anew. */
--- a/front/src/main/java/org/magnoliaswitch/front/process/SendQuotas.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/SendQuotas.java
@@ -65,7 +65,7 @@
 
   /** The same as far as what the server asked for decides it. */
   private long askedWaitNanos(ServerState server) {
-    long pause = server.backpressure().pauseLeftNanos(clocks.nanos());
+    long pause = server.backpressure().remainingPauseNanos(clocks.nanos());
     return Math.max(pause, limitWaitNanos(server));
   }
 
@@ -78,7 +78,7 @@
     long unsettled = instances.settlesInNanos();
     return unsettled > 0
         ? unsettled
-        : server.waitNanos(share(server, perSecond.getAsDouble()), clocks.nanos());
+        : server.nanosUntilAllowed(share(server, perSecond.getAsDouble()), clocks.nanos());
   }
 
   private RateLimitShare share(ServerState server, double perSecond) {
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerDirectory.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerDirectory.java
@@ -137,7 +137,7 @@
   public void unreachable(ServerState state) {
     failed(state, "unreachable");
     coldSends.unreachable(state);
-    state.unreachable(clocks.nanos());
+    state.markUnreachable(clocks.nanos());
     replaceUnavailable();
   }
 
@@ -156,7 +156,7 @@
   public void failed(ServerState state, String reason) {
     long now = clocks.nanos();
     boolean before = state.suspect(now);
-    state.failed(now);
+    state.recordFailure(now);
     if (!before && state.suspect(now)) {
       log.belief("server_suspect")
           .add("server", state.entry().id())
@@ -171,7 +171,7 @@
   public void succeeded(ServerState state, double ratioToExpected) {
     long now = clocks.nanos();
     boolean before = state.suspect(now);
-    state.succeeded(ratioToExpected, now);
+    state.recordSuccess(ratioToExpected, now);
     if (before && !state.suspect(now)) {
       log.belief("server_trusted")
           .add("server", state.entry().id())
@@ -225,7 +225,7 @@
 
   /** Nothing more goes there, also from requests that wait in line and still hold the state. */
   private static void leave(ServerPool pool) {
-    pool.state().markGone();
+    pool.state().markRemoved();
     pool.closeIdle();
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerGroups.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerGroups.java
@@ -57,7 +57,7 @@
   /** Whether it cannot be reached, or has asked this instance for a pause. */
   private boolean unavailable(ServerState server) {
     long now = clocks.nanos();
-    return server.unreachableLately(now) || server.backpressure().pauseLeftNanos(now) > 0;
+    return server.recentlyUnreachable(now) || server.backpressure().remainingPauseNanos(now) > 0;
   }
 
   /**
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerNotices.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerNotices.java
@@ -30,14 +30,14 @@
    */
   public void answered(ServerState server, ServerNotice notice, long sentNanos) {
     Before before = new Before(server.backpressure());
-    server.backpressure().answered(notice, sentNanos, clocks.nanos());
+    server.backpressure().recordAnswer(notice, sentNanos, clocks.nanos());
     taken(server, notice, before);
   }
 
   /** Takes the notice in the answer to a health check or to a request that was turned away. */
   public void heard(ServerState server, ServerNotice notice) {
     Before before = new Before(server.backpressure());
-    server.backpressure().take(notice, clocks.nanos());
+    server.backpressure().recordNotice(notice, clocks.nanos());
     taken(server, notice, before);
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
@@ -77,7 +77,7 @@
   }
 
   void start(boolean idempotent) {
-    pool.state().sent();
+    pool.state().requestStarted();
     boolean anyKept =
         idempotent || !environment.settings().mechanisms().enabled(Mechanism.FRESH_CONNECTIONS);
     Optional<ServerConnection> kept = pool.takeIdle(anyKept ? MAX_IDLE_NANOS : MAX_IDLE_ONCE_NANOS);
@@ -101,7 +101,7 @@
   /** The answer is late: the server is a worse choice for others. */
   void overdue(double usualNanos) {
     long now = environment.clocks().nanos();
-    pool.state().overdue((now - sentNanos) / usualNanos, now);
+    pool.state().recordOverdue((now - sentNanos) / usualNanos, now);
   }
 
   /**
@@ -179,7 +179,7 @@
     warned = verdict == Verdict.TRIAL;
     connection = target;
     sentNanos = environment.clocks().nanos();
-    pool.state().written(sentNanos);
+    pool.state().recordWrite(sentNanos);
     slownessAtStart = Placement.slowness(pool.state(), serviceLoad(), sentNanos);
     exchange.sends().writing();
     FullHttpRequest message =
@@ -235,7 +235,7 @@
     learnLoad(whole);
     int status = whole.status().code();
     if (status == HttpResponseStatus.MISDIRECTED_REQUEST.code()) {
-      pool.state().markGone();
+      pool.state().markRemoved();
       environment.log().belief("server_replaced").add("server", serverId()).write();
       exchange.rejected(this, status);
     } else if (whole.headers().contains(environment.names().notExecuted())) {
@@ -273,7 +273,7 @@
   private void sampled(LoadSample told, int own) {
     ServiceLoad service = serviceLoad();
     LoadSample sample = service.afterAnswer(told, environment.settings().mechanisms());
-    pool.state().sampled(sample, own, environment.clocks().nanos());
+    pool.state().recordSample(sample, own, environment.clocks().nanos());
     service.recordSample(sample);
   }
 
@@ -283,6 +283,6 @@
 
   private void end() {
     ended = true;
-    pool.state().ended();
+    pool.state().requestEnded();
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/request/FurtherSends.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/FurtherSends.java
@@ -81,7 +81,7 @@
     }
     SharedRetryBudget budget = environment.routeState().budget(service);
     long now = environment.clocks().nanos();
-    if (budget.spend(fallback, environment.instances().count(), now)) {
+    if (budget.trySpend(fallback, environment.instances().count(), now)) {
       return Optional.empty();
     }
     return Optional.of(fallback == CallerRetry.NONE ? "no_budget" : "caller_returns");
--- a/front/src/main/java/org/magnoliaswitch/front/request/Probes.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Probes.java
@@ -87,7 +87,7 @@
 
   /** Whether a server may be checked now; asked again once a connection for the check is open. */
   private boolean allowsChecks(ServerState server) {
-    return server.acceptsWork() && server.backpressure().allowsChecks(environment.clocks().nanos());
+    return server.acceptsWork() && server.backpressure().allowsProbes(environment.clocks().nanos());
   }
 
   /** One set of questions. */
@@ -199,21 +199,21 @@
     }
 
     private void sampled(LoadSample sample, int own) {
-      pool.state().sampled(sample, own, environment.clocks().nanos());
+      pool.state().recordSample(sample, own, environment.clocks().nanos());
       environment.routeState().load(service()).recordSample(sample);
     }
 
     private void learnWarmup(@Nullable String leftMillis) {
       if (leftMillis != null && leftMillis.matches(MILLIS)) {
         long left = TimeUnit.MILLISECONDS.toNanos((long) Double.parseDouble(leftMillis));
-        pool.state().warmupTold(left, environment.clocks().nanos());
+        pool.state().recordWarmup(left, environment.clocks().nanos());
       }
     }
 
     private void learn(ServerReply.Whole whole) {
       String id = whole.headers().get(environment.names().serverId());
       if (id != null && !id.equals(pool.state().entry().id())) {
-        pool.state().markGone();
+        pool.state().markRemoved();
         environment
             .log()
             .belief("server_replaced")
--- a/front/src/main/java/org/magnoliaswitch/front/request/RoutedExchange.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RoutedExchange.java
@@ -93,7 +93,7 @@
 
   /** Looks for a server. */
   void start() {
-    environment.routeState().budget(service).request(environment.clocks().nanos());
+    environment.routeState().budget(service).recordRequest(environment.clocks().nanos());
     placing.place();
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/request/ServerSearch.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/ServerSearch.java
@@ -77,7 +77,7 @@
     long now = environment.clocks().nanos();
     List<ServerPool> unknown =
         environment.servers().of(query.service()).stream()
-            .filter(pool -> mayGet(pool.state(), query) && pool.state().coldnessUnknown(now))
+            .filter(pool -> mayGet(pool.state(), query) && pool.state().warmupUnconfirmed(now))
             .limit(UNKNOWN_ASKED)
             .toList();
     if (!unknown.isEmpty()) {
--- a/front/src/test/java/org/magnoliaswitch/front/load/AdmissionLimitTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/AdmissionLimitTest.java
@@ -65,14 +65,14 @@
   public void aServerNotHeardOfYetGetsOneRequestAtATime() {
     ServerState server = new ServerState(Servers.entry("a", false), NOW);
     assertEquals(hasRoom(server, service(0), Timeliness.IN_TIME, NOW), true);
-    server.sent();
+    server.requestStarted();
     assertEquals(hasRoom(server, service(0), Timeliness.IN_TIME, NOW), false);
   }
 
   @Test
   public void aServiceThatTellsNoLoadAlwaysHasRoom() {
     ServerState server = new ServerState(Servers.entry("a", false), NOW);
-    server.sent();
+    server.requestStarted();
     ServiceLoad silent = new ServiceLoad();
     silent.markNotReporting();
     assertEquals(hasRoom(server, silent, Timeliness.LATE, NOW), true);
--- a/front/src/test/java/org/magnoliaswitch/front/load/BackpressureTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/BackpressureTest.java
@@ -18,9 +18,9 @@
     @Test
     public void holdsUntilAnAnswerToALaterRequestNamesNone() {
       Backpressure server = new Backpressure();
-      server.answered(LIMITED, 0, 100);
+      server.recordAnswer(LIMITED, 0, 100);
       assertEquals(server.requestsPerSecond(), LIMITED.requestsPerSecond());
-      server.answered(ServerNotice.NONE, 101, 200);
+      server.recordAnswer(ServerNotice.NONE, 101, 200);
       assertEquals(server.requestsPerSecond(), FREE);
     }
 
@@ -28,8 +28,8 @@
     @Test
     public void anAnswerToAnEarlierRequestDoesNotLiftIt() {
       Backpressure server = new Backpressure();
-      server.answered(LIMITED, 50, 100);
-      server.answered(ServerNotice.NONE, 0, 110);
+      server.recordAnswer(LIMITED, 50, 100);
+      server.recordAnswer(ServerNotice.NONE, 0, 110);
       assertEquals(server.requestsPerSecond(), LIMITED.requestsPerSecond());
     }
 
@@ -37,27 +37,27 @@
     @Test
     public void aHealthCheckOrRefusalNamesItButDoesNotLiftIt() {
       Backpressure server = new Backpressure();
-      server.take(LIMITED, 100);
+      server.recordNotice(LIMITED, 100);
       assertEquals(server.requestsPerSecond(), LIMITED.requestsPerSecond());
-      server.take(ServerNotice.NONE, 120);
+      server.recordNotice(ServerNotice.NONE, 120);
       assertEquals(server.requestsPerSecond(), LIMITED.requestsPerSecond());
     }
 
     @Test
     public void allowsNoChecksUntilItIsLifted() {
       Backpressure server = new Backpressure();
-      assertTrue(server.allowsChecks(0));
-      server.answered(LIMITED, 0, 100);
-      assertFalse(server.allowsChecks(110));
-      server.answered(ServerNotice.NONE, 120, 130);
-      assertTrue(server.allowsChecks(140));
+      assertTrue(server.allowsProbes(0));
+      server.recordAnswer(LIMITED, 0, 100);
+      assertFalse(server.allowsProbes(110));
+      server.recordAnswer(ServerNotice.NONE, 120, 130);
+      assertTrue(server.allowsProbes(140));
     }
 
     @Test
     public void knowsWhenItWasLastNamed() {
       Backpressure server = new Backpressure();
-      server.answered(LIMITED, 0, 100);
-      server.answered(LIMITED, 110, 200);
+      server.recordAnswer(LIMITED, 0, 100);
+      server.recordAnswer(LIMITED, 110, 200);
       assertEquals(server.limitAgeNanos(250), 50);
     }
   }
--- a/front/src/test/java/org/magnoliaswitch/front/load/LoadReplayTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/LoadReplayTest.java
@@ -101,14 +101,14 @@
             inTime += now - job.arrivedMillis() <= OBJECTIVE_MILLIS ? 1 : 0;
             ServerState state = states.get(job.instance()).get(server);
             sample(job.instance(), server, nanos(now));
-            state.ended();
+            state.requestEnded();
           });
     }
 
     private void sample(int instance, int server, long now) {
       ServerState state = states.get(instance).get(server);
       LoadSample sample = models.get(server).sample();
-      state.sampled(sample, state.inFlight(), now);
+      state.recordSample(sample, state.inFlight(), now);
       loads.get(instance).recordSample(sample);
     }
 
@@ -120,7 +120,7 @@
       if (chosen.isPresent()) {
         int server = states.get(instance).indexOf(chosen.get());
         if (models.get(server).take(new ServerModel.Job(instance, now, Math.max(20, work)))) {
-          chosen.get().sent();
+          chosen.get().requestStarted();
         }
       }
     }
--- a/front/src/test/java/org/magnoliaswitch/front/load/PlacementTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/PlacementTest.java
@@ -83,8 +83,8 @@
       ServerState grey = Servers.told("grey", 0, 1, NOW);
       ServerState busy = Servers.told("busy", 4, 1, NOW);
       for (int i = 0; i < 5; i++) {
-        grey.failed(NOW);
-        grey.succeeded(1, NOW);
+        grey.recordFailure(NOW);
+        grey.recordSuccess(1, NOW);
       }
       assertEquals(outer.best(List.of(grey, busy), NOW), "busy");
     }
@@ -92,8 +92,8 @@
     @Test
     public void aServerThatFailedIsTriedAgainLater() {
       ServerState failed = Servers.told("failed", 0, 1, NOW);
-      failed.failed(NOW);
-      failed.failed(NOW);
+      failed.recordFailure(NOW);
+      failed.recordFailure(NOW);
       long later = NOW + TimeUnit.SECONDS.toNanos(60);
       assertTrue(failed.failureShare(later) < 0.001);
     }
@@ -104,7 +104,7 @@
       for (int i = 0; i < 4; i++) {
         ServerState server = Servers.told("s" + i, 0, 1, NOW);
         for (int k = 0; k < 10; k++) {
-          server.failed(NOW);
+          server.recordFailure(NOW);
         }
         servers.add(server);
       }
@@ -120,8 +120,8 @@
       ServerState slow = Servers.told("slow", 0, 1, NOW);
       ServerState usual = Servers.told("usual", 2, 1, NOW);
       for (int i = 0; i < 6; i++) {
-        slow.succeeded(5, NOW);
-        usual.succeeded(1, NOW);
+        slow.recordSuccess(5, NOW);
+        usual.recordSuccess(1, NOW);
       }
       assertEquals(outer.best(List.of(slow, usual), NOW), "usual");
     }
@@ -153,7 +153,7 @@
     public void alsoWhereOwnAnswersWereSlowLately() {
       ServerState recovered = Servers.told("only", 0, 1, NOW);
       for (int i = 0; i < 10; i++) {
-        recovered.succeeded(20, NOW);
+        recovered.recordSuccess(20, NOW);
       }
       assertTrue(Placement.expectedInTime(recovered, allowed(160, 400)));
     }
@@ -175,7 +175,7 @@
     private ServerState remote(int running, double slowness) {
       ServerEntry entry = new ServerEntry("remote", 0, "s", "127.0.0.1", 1, "there", 6, false, 0);
       ServerState state = new ServerState(entry, NOW);
-      state.sampled(new LoadSample(running, 0, 6, slowness), 0, NOW);
+      state.recordSample(new LoadSample(running, 0, 6, slowness), 0, NOW);
       state.idleConnections(1);
       return state;
     }
--- a/front/src/test/java/org/magnoliaswitch/front/load/ServerSelectionTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/ServerSelectionTest.java
@@ -69,7 +69,7 @@
   public void aServerWithALimitIsTakenWithoutAsking() {
     ServerState limited = Servers.told("a", 1, 1, LONG_AGO);
     ServerNotice notice = new ServerNotice(false, OptionalDouble.of(4.6), 0);
-    limited.backpressure().answered(notice, LONG_AGO, LONG_AGO);
+    limited.backpressure().recordAnswer(notice, LONG_AGO, LONG_AGO);
     assertEquals(next(true, limited), new ServerSelection.Step.Send(limited));
   }
 
--- a/front/src/test/java/org/magnoliaswitch/front/load/ServiceShapesTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/ServiceShapesTest.java
@@ -38,7 +38,7 @@
   private static ServerState server(int slots, int running, double slowness) {
     ServerEntry entry = new ServerEntry("a", 0, "s", "127.0.0.1", 1, "here", slots, false, 0);
     ServerState state = new ServerState(entry, NOW);
-    state.sampled(new LoadSample(running, 0, slots, slowness), 0, NOW);
+    state.recordSample(new LoadSample(running, 0, slots, slowness), 0, NOW);
     state.idleConnections(1);
     return state;
   }
--- a/front/src/test/java/org/magnoliaswitch/front/load/SharedRetryBudgetTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/SharedRetryBudgetTest.java
@@ -39,9 +39,9 @@
     for (int step = 0; step < 20_000; step++) {
       now += random.nextLong(TimeUnit.MILLISECONDS.toNanos(4));
       int instance = (int) (instances * Math.pow(random.nextDouble(), 3));
-      budgets[instance].request(now);
+      budgets[instance].recordRequest(now);
       requests.addLast(now);
-      if (budgets[instance].spend(CallerRetry.NONE, instances, now)) {
+      if (budgets[instance].trySpend(CallerRetry.NONE, instances, now)) {
         repeats.addLast(now);
       }
       forget(requests, now);
@@ -55,11 +55,11 @@
   @Test
   public void aQuietInstanceMayRepeatAfterItsWindow() {
     SharedRetryBudget budget = new SharedRetryBudget(LIMITS, 0);
-    while (budget.spend(CallerRetry.NONE, 17, 0)) {
+    while (budget.trySpend(CallerRetry.NONE, 17, 0)) {
       assertTrue(true);
     }
-    assertFalse(budget.spend(CallerRetry.NONE, 17, WINDOW / 2));
-    assertTrue(budget.spend(CallerRetry.NONE, 17, 2 * WINDOW));
+    assertFalse(budget.trySpend(CallerRetry.NONE, 17, WINDOW / 2));
+    assertTrue(budget.trySpend(CallerRetry.NONE, 17, 2 * WINDOW));
   }
 
   /**
@@ -70,7 +70,7 @@
   public void callersThatCanComeBackLeaveSomeForThoseThatCannot() {
     SharedRetryBudget budget = new SharedRetryBudget(LIMITS, 0);
     for (int i = 0; i < 500; i++) {
-      budget.request(0);
+      budget.recordRequest(0);
     }
     int returning = spendAll(budget, CallerRetry.EXPECTED);
     int last = spendAll(budget, CallerRetry.NONE);
@@ -87,10 +87,10 @@
     SharedRetryBudget budget =
         new SharedRetryBudget(new SharedRetryBudget.Limits(0.2, 230, WINDOW), 0);
     for (int i = 0; i < 5; i++) {
-      budget.request(0);
+      budget.recordRequest(0);
     }
-    assertTrue(budget.spend(CallerRetry.EXPECTED, 152, 0));
-    assertFalse(budget.spend(CallerRetry.EXPECTED, 152, 0));
+    assertTrue(budget.trySpend(CallerRetry.EXPECTED, 152, 0));
+    assertFalse(budget.trySpend(CallerRetry.EXPECTED, 152, 0));
   }
 
   /**
@@ -106,10 +106,10 @@
     for (int i = 0; i < instances; i++) {
       SharedRetryBudget budget = new SharedRetryBudget(limits, random.nextDouble());
       for (int request = 0; request < 28; request++) {
-        budget.request(0);
+        budget.recordRequest(0);
       }
       int spent = 0;
-      while (budget.spend(CallerRetry.NONE, instances, 0)) {
+      while (budget.trySpend(CallerRetry.NONE, instances, 0)) {
         spent++;
       }
       sum += spent;
@@ -120,7 +120,7 @@
 
   private static int spendAll(SharedRetryBudget budget, CallerRetry fallback) {
     int spent = 0;
-    while (budget.spend(fallback, 17, 0)) {
+    while (budget.trySpend(fallback, 17, 0)) {
       spent++;
     }
     return spent;
--- a/front/src/test/java/org/magnoliaswitch/front/process/BackpressureMemoryTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/BackpressureMemoryTest.java
@@ -27,7 +27,7 @@
 
   private void keepLeaving(ServerEntry entry) {
     ServerState state = new ServerState(entry, 0);
-    state.backpressure().answered(LEAVING, 0, 0);
+    state.backpressure().recordAnswer(LEAVING, 0, 0);
     memory.keep(state);
   }
 
@@ -41,11 +41,11 @@
   @Test
   public void keepsLimitsAndPauses() {
     ServerState state = new ServerState(ENTRY, 0);
-    state.backpressure().answered(new ServerNotice(false, OptionalDouble.of(4.6), 100), 0, 0);
+    state.backpressure().recordAnswer(new ServerNotice(false, OptionalDouble.of(4.6), 100), 0, 0);
     memory.keep(state);
     Backpressure kept = memory.of(ENTRY);
     assertTrue(kept.requestsPerSecond().isPresent());
-    assertEquals(kept.pauseLeftNanos(40), 60);
+    assertEquals(kept.remainingPauseNanos(40), 60);
   }
 
   /** Guards against a server that gets nothing because the process before it left. */
--- a/front/src/test/java/org/magnoliaswitch/front/process/ColdSendsTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ColdSendsTest.java
@@ -56,7 +56,7 @@
     int sent = 0;
     for (long passed = 0; passed < spanNanos; passed += MILLI) {
       if (coldSends.allowed(server)) {
-        server.written(time.read());
+        server.recordWrite(time.read());
         sent++;
       }
       time.advance(MILLI);
@@ -80,8 +80,8 @@
   @Test
   public void whatWasSentBeforeItCooledCounts() {
     time.advance(10 * SECOND);
-    server.written(time.read());
-    server.written(time.read());
+    server.recordWrite(time.read());
+    server.recordWrite(time.read());
     server.assumeCold(SPAN, time.read());
     assertEquals(sendAll(SECOND), SHARE - 2);
   }
@@ -127,14 +127,14 @@
     time.advance(10 * SECOND);
     coldSends.unreachable(server);
     assertTrue(server.cold(time.read()));
-    server.warmupTold(0, time.read());
+    server.recordWarmup(0, time.read());
     assertFalse(server.cold(time.read()));
   }
 
   /** Entries are seconds old: one that says warm must not end a warm-up that began since. */
   @Test
   public void anEntryDoesNotEndAWarmup() {
-    server.warmupTold(SPAN, time.read());
+    server.recordWarmup(SPAN, time.read());
     server.update(Servers.entry("a", false), time.read());
     assertTrue(server.cold(time.read()));
   }
--- a/front/src/test/java/org/magnoliaswitch/front/process/SendQuotasTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/SendQuotasTest.java
@@ -44,14 +44,14 @@
 
   private void limit(double perSecond) {
     ServerNotice notice = new ServerNotice(false, OptionalDouble.of(perSecond), 0);
-    server.backpressure().answered(notice, time.read(), time.read());
+    server.backpressure().recordAnswer(notice, time.read(), time.read());
   }
 
   private int sendAll(long spanNanos) {
     int sent = 0;
     for (long passed = 0; passed < spanNanos; passed += MILLI) {
       if (quotas.allowed(server)) {
-        server.written(time.read());
+        server.recordWrite(time.read());
         sent++;
       }
       time.advance(MILLI);
@@ -73,7 +73,7 @@
   public void whatWasSentBeforeTheLimitCounts() {
     time.advance(SETTLED);
     for (int i = 0; i < 5; i++) {
-      server.written(time.read());
+      server.recordWrite(time.read());
     }
     limit(3);
     assertEquals(sendAll(4 * SECOND), 1);
@@ -84,7 +84,7 @@
     time.advance(SETTLED);
     limit(3);
     time.advance(SECOND);
-    server.backpressure().answered(ServerNotice.NONE, time.read(), time.read());
+    server.backpressure().recordAnswer(ServerNotice.NONE, time.read(), time.read());
     assertEquals(sendAll(SECOND), SECOND / MILLI);
   }
 
@@ -120,7 +120,7 @@
 
   private void pause(long nanos) {
     ServerNotice notice = new ServerNotice(false, OptionalDouble.empty(), nanos);
-    server.backpressure().answered(notice, time.read(), time.read());
+    server.backpressure().recordAnswer(notice, time.read(), time.read());
   }
 
   /** Guards against requests at a server that asked for a pause. */
@@ -140,7 +140,7 @@
     pause(3 * SECOND);
     time.advance(SECOND);
     pause(SECOND);
-    server.backpressure().answered(ServerNotice.NONE, time.read(), time.read());
+    server.backpressure().recordAnswer(ServerNotice.NONE, time.read(), time.read());
     assertEquals(quotas.waitNanos(server), 2 * SECOND);
   }
 
--- a/front/src/test/java/org/magnoliaswitch/front/process/ServerDirectoryTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ServerDirectoryTest.java
@@ -176,7 +176,7 @@
       List<ServerState> before = used();
       List<ServerState> paused = before.subList(0, before.size() - 2);
       ServerNotice notice = new ServerNotice(false, OptionalDouble.empty(), 3 * SECOND);
-      paused.forEach(state -> state.backpressure().answered(notice, time.read(), time.read()));
+      paused.forEach(state -> state.backpressure().recordAnswer(notice, time.read(), time.read()));
       directory.paused();
       List<ServerState> during = new ArrayList<>(used());
       during.removeAll(paused);
@@ -192,7 +192,7 @@
       List<ServerState> before = used();
       List<ServerState> silent = before.subList(0, 5);
       silent.forEach(directory::unreachable);
-      silent.forEach(state -> state.sampled(new LoadSample(0, 0, 2, 1), 0, time.read()));
+      silent.forEach(state -> state.recordSample(new LoadSample(0, 0, 2, 1), 0, time.read()));
       directory.sweep();
       assertEquals(used(), before);
     }
@@ -254,7 +254,7 @@
       ServerState second = directory.of("s").get(1).state();
       assertTrue(first.acceptsWork());
       assertTrue(first.cold(clocks.nanos()));
-      first.warmupTold(0, clocks.nanos());
+      first.recordWarmup(0, clocks.nanos());
       assertFalse(first.cold(clocks.nanos()));
       assertTrue(second.cold(clocks.nanos()));
       time.advance(SPAN_NANOS);
@@ -279,8 +279,8 @@
       ServerDirectory directory = directory();
       apply(directory, 1, Servers.entry("a", false));
       ServerState old = only(directory);
-      old.sent();
-      old.markGone();
+      old.requestStarted();
+      old.markRemoved();
       for (int i = 0; i < 5; i++) {
         directory.failed(old, "error");
       }
--- a/front/src/test/java/org/magnoliaswitch/front/request/PausedServerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/PausedServerTest.java
@@ -102,6 +102,6 @@
     ServerState state = environment.servers().of("s").getFirst().state();
     ServerNotice notice =
         new ServerNotice(false, OptionalDouble.empty(), TimeUnit.MINUTES.toNanos(2));
-    state.backpressure().take(notice, environment.clocks().nanos());
+    state.backpressure().recordNotice(notice, environment.clocks().nanos());
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/testing/Servers.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/Servers.java
@@ -53,7 +53,7 @@
   /** A server that has told its load just now. */
   public static ServerState told(String id, int running, double slowness, long nowNanos) {
     ServerState state = new ServerState(entry(id, false), nowNanos);
-    state.sampled(new LoadSample(running, 0, SLOTS, slowness), 0, nowNanos);
+    state.recordSample(new LoadSample(running, 0, SLOTS, slowness), 0, nowNanos);
     state.idleConnections(1);
     return state;
   }
