--- a/front/src/main/java/org/magnoliaswitch/front/load/InstanceIndex.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/InstanceIndex.java
@@ -7,14 +7,14 @@
  * word: each works out by itself whether it is one of them.
  *
  * @param index place of this instance, from 0
- * @param count how many places there are, those of instances that left and were not
- *     replaced included
+ * @param count how many places there are, those of instances that left and were not replaced
+ *     included
  */
 public record InstanceIndex(int index, int count) {
   public InstanceIndex {
     if (index < 0 || index >= count) {
       throw new IllegalArgumentException(
-          "instance index " + index + " is not in the range 0 to " + (count - 1));
+          "instance index " + index + " is negative or not less than the instance count " + count);
     }
   }
 
