--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerGroups.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerGroups.java
@@ -60,7 +60,7 @@
   /** Whether it cannot be reached, or has asked this instance for a pause. */
   private boolean unavailable(ServerState server) {
     long now = clocks.nanos();
-    return server.unreachableLately(now) || server.backpressure().pauseLeftNanos(now) > 0;
+    return server.recentlyUnreachable(now) || server.backpressure().remainingPauseNanos(now) > 0;
   }
 
   /**
@@ -104,8 +104,8 @@
 
   private List<ServerPool> used(List<ServerPool> pools) {
     Mechanisms mechanisms = settings.mechanisms();
-    Set<ServerPool> avoided = mechanisms.on(Mechanism.REPLACEMENTS) ? unavailable : Set.of();
-    return mechanisms.on(Mechanism.SUBSET)
+    Set<ServerPool> avoided = mechanisms.enabled(Mechanism.REPLACEMENTS) ? unavailable : Set.of();
+    return mechanisms.enabled(Mechanism.SUBSET)
         ? ServerSubset.withReplacements(pools, avoided, this::subset)
         : pools;
   }
@@ -114,8 +114,8 @@
     int size =
         instances.settled()
             ? ServerSubset.size(pools.size(), instances.count())
-            : ServerSubset.sizeAtStart(pools.size());
-    return ServerSubset.of(
+            : ServerSubset.initialSize(pools.size());
+    return ServerSubset.select(
         pools, size, pool -> pool.state().entry(), settings.instance(), settings.dataCentre());
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
@@ -77,9 +77,9 @@
   }
 
   void start(boolean idempotent) {
-    pool.state().sent();
+    pool.state().requestStarted();
     boolean anyKept =
-        idempotent || !environment.settings().mechanisms().on(Mechanism.FRESH_CONNECTIONS);
+        idempotent || !environment.settings().mechanisms().enabled(Mechanism.FRESH_CONNECTIONS);
     Optional<ServerConnection> kept =
         pool.acquireIdle(anyKept ? MAX_IDLE_NANOS : MAX_IDLE_ONCE_NANOS);
     if (kept.isPresent()) {
@@ -102,7 +102,7 @@
   /** The answer is late: the server is a worse choice for others. */
   void overdue(double usualNanos) {
     long now = environment.clocks().nanos();
-    pool.state().overdue((now - sentNanos) / usualNanos, now);
+    pool.state().recordOverdue((now - sentNanos) / usualNanos, now);
   }
 
   /**
@@ -180,7 +180,7 @@
     warned = verdict == Verdict.TRIAL;
     connection = target;
     sentNanos = environment.clocks().nanos();
-    pool.state().written(sentNanos);
+    pool.state().recordWrite(sentNanos);
     slownessAtStart = Placement.slowness(pool.state(), serviceLoad(), sentNanos);
     exchange.sends().writing();
     FullHttpRequest message =
@@ -203,7 +203,7 @@
         .add("request", requestId)
         .add("server", serverId())
         .add("left_ms", leftMillis)
-        .add("held", pool.state().sample().held())
+        .add("held", pool.state().sample().outstanding())
         .addDecimal("slowness", pool.state().sample().slowness())
         .add("sample_age_ms", TimeUnit.NANOSECONDS.toMillis(pool.state().sampleAgeNanos(sentNanos)))
         .add("in_flight", pool.state().inFlight())
@@ -236,7 +236,7 @@
     learnLoad(whole);
     int status = whole.status().code();
     if (status == HttpResponseStatus.MISDIRECTED_REQUEST.code()) {
-      pool.state().markGone();
+      pool.state().markRemoved();
       environment.log().stateChange("server_replaced").add("server", serverId()).write();
       exchange.rejected(this, status);
     } else if (whole.headers().contains(environment.names().notExecuted())) {
@@ -274,8 +274,8 @@
   private void sampled(LoadSample told, int own) {
     ServiceLoad service = serviceLoad();
     LoadSample sample = service.afterAnswer(told, environment.settings().mechanisms());
-    pool.state().sampled(sample, own, environment.clocks().nanos());
-    service.sampled(sample);
+    pool.state().recordSample(sample, own, environment.clocks().nanos());
+    service.recordSample(sample);
   }
 
   private ServiceLoad serviceLoad() {
@@ -284,6 +284,6 @@
 
   private void end() {
     ended = true;
-    pool.state().ended();
+    pool.state().requestEnded();
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/request/Probes.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Probes.java
@@ -17,8 +17,8 @@
 import org.magnoliaswitch.front.connection.ServerReply;
 import org.magnoliaswitch.front.load.LoadSample;
 import org.magnoliaswitch.front.load.ProbeShare;
-import org.magnoliaswitch.front.load.RateLimit;
 import org.magnoliaswitch.front.load.ServerState;
+import org.magnoliaswitch.front.load.TokenBucket;
 import org.magnoliaswitch.front.process.Environment;
 
 /**
@@ -48,7 +48,7 @@
   private static final String MILLIS = "[0-9]{1,9}([.][0-9]{1,9})?";
 
   private final Environment environment;
-  private final Map<ServerState, RateLimit> limits = new WeakHashMap<>();
+  private final Map<ServerState, TokenBucket> limits = new WeakHashMap<>();
 
   Probes(Environment environment) {
     this.environment = environment;
@@ -81,13 +81,13 @@
             environment.instances().count(),
             environment.servers().subsetShare(pool.state().entry().service()));
     return limits
-        .computeIfAbsent(pool.state(), server -> new RateLimit(BURST, now))
-        .take(perSecond, now);
+        .computeIfAbsent(pool.state(), server -> new TokenBucket(BURST, now))
+        .tryTake(perSecond, now);
   }
 
   /** Whether a server may be checked now; asked again once a connection for the check is open. */
   private boolean allowsChecks(ServerState server) {
-    return server.acceptsWork() && server.backpressure().allowsChecks(environment.clocks().nanos());
+    return server.acceptsWork() && server.backpressure().allowsProbes(environment.clocks().nanos());
   }
 
   /** One set of questions. */
@@ -199,21 +199,21 @@
     }
 
     private void sampled(LoadSample sample, int own) {
-      pool.state().sampled(sample, own, environment.clocks().nanos());
-      environment.routeState().load(service()).sampled(sample);
+      pool.state().recordSample(sample, own, environment.clocks().nanos());
+      environment.routeState().load(service()).recordSample(sample);
     }
 
     private void learnWarmup(@Nullable String leftMillis) {
       if (leftMillis != null && leftMillis.matches(MILLIS)) {
         long left = TimeUnit.MILLISECONDS.toNanos((long) Double.parseDouble(leftMillis));
-        pool.state().warmupTold(left, environment.clocks().nanos());
+        pool.state().recordWarmup(left, environment.clocks().nanos());
       }
     }
 
     private void learn(ServerReply.Complete whole) {
       String id = whole.headers().get(environment.names().serverId());
       if (id != null && !id.equals(pool.state().entry().id())) {
-        pool.state().markGone();
+        pool.state().markRemoved();
         environment
             .log()
             .stateChange("server_replaced")
@@ -226,7 +226,7 @@
       learnWarmup(whole.headers().get(environment.names().warmupLeft()));
       String load = whole.headers().get(environment.names().load());
       if (load == null) {
-        environment.routeState().load(service()).toldNothing();
+        environment.routeState().load(service()).markNotReporting();
       } else {
         int own = pool.state().inFlight();
         LoadSample.parse(load).ifPresent(sample -> sampled(sample, own));
--- a/front/src/main/java/org/magnoliaswitch/front/request/RoutedExchange.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RoutedExchange.java
@@ -85,7 +85,7 @@
   }
 
   private Optional<Hedge> hedge() {
-    boolean allowed = environment.settings().mechanisms().on(Mechanism.HEDGING);
+    boolean allowed = environment.settings().mechanisms().enabled(Mechanism.HEDGING);
     return allowed && route.idempotent()
         ? Optional.of(new Hedge(this, environment.loop(), placing, times))
         : Optional.empty();
@@ -93,7 +93,7 @@
 
   /** Looks for a server. */
   void start() {
-    environment.routeState().budget(service).request(environment.clocks().nanos());
+    environment.routeState().budget(service).recordRequest(environment.clocks().nanos());
     placing.place();
   }
 
--- a/front/src/test/java/org/magnoliaswitch/front/load/PlacementTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/PlacementTest.java
@@ -24,7 +24,7 @@
   private static ServiceLoad service() {
     ServiceLoad load = new ServiceLoad();
     for (int i = 0; i < 200; i++) {
-      load.sampled(new LoadSample(1, 0, Servers.SLOTS, 1.75));
+      load.recordSample(new LoadSample(1, 0, Servers.SLOTS, 1.75));
     }
     return load;
   }
@@ -83,8 +83,8 @@
       ServerState grey = Servers.reporting("grey", 0, 1, NOW);
       ServerState busy = Servers.reporting("busy", 4, 1, NOW);
       for (int i = 0; i < 5; i++) {
-        grey.failed(NOW);
-        grey.succeeded(1, NOW);
+        grey.recordFailure(NOW);
+        grey.recordSuccess(1, NOW);
       }
       assertEquals(outer.best(List.of(grey, busy), NOW), "busy");
     }
@@ -92,8 +92,8 @@
     @Test
     public void aServerThatFailedIsTriedAgainLater() {
       ServerState failed = Servers.reporting("failed", 0, 1, NOW);
-      failed.failed(NOW);
-      failed.failed(NOW);
+      failed.recordFailure(NOW);
+      failed.recordFailure(NOW);
       long later = NOW + TimeUnit.SECONDS.toNanos(60);
       assertTrue(failed.failureShare(later) < 0.001);
     }
@@ -104,7 +104,7 @@
       for (int i = 0; i < 4; i++) {
         ServerState server = Servers.reporting("s" + i, 0, 1, NOW);
         for (int k = 0; k < 10; k++) {
-          server.failed(NOW);
+          server.recordFailure(NOW);
         }
         servers.add(server);
       }
@@ -120,8 +120,8 @@
       ServerState slow = Servers.reporting("slow", 0, 1, NOW);
       ServerState usual = Servers.reporting("usual", 2, 1, NOW);
       for (int i = 0; i < 6; i++) {
-        slow.succeeded(5, NOW);
-        usual.succeeded(1, NOW);
+        slow.recordSuccess(5, NOW);
+        usual.recordSuccess(1, NOW);
       }
       assertEquals(outer.best(List.of(slow, usual), NOW), "usual");
     }
@@ -141,8 +141,8 @@
     @Test
     public void notWhereAnAnswerWouldBeLateBecauseOfTheMoment() {
       ServerState slow = Servers.reporting("slow", 0, 5, NOW);
-      assertFalse(Placement.fits(slow, allowed(160, 400)));
-      assertTrue(Placement.fits(slow, allowed(160, 800)));
+      assertFalse(Placement.expectedInTime(slow, allowed(160, 400)));
+      assertTrue(Placement.expectedInTime(slow, allowed(160, 800)));
     }
 
     /**
@@ -153,9 +153,9 @@
     public void alsoWhereOwnAnswersWereSlowLately() {
       ServerState recovered = Servers.reporting("only", 0, 1, NOW);
       for (int i = 0; i < 10; i++) {
-        recovered.succeeded(20, NOW);
+        recovered.recordSuccess(20, NOW);
       }
-      assertTrue(Placement.fits(recovered, allowed(160, 400)));
+      assertTrue(Placement.expectedInTime(recovered, allowed(160, 400)));
     }
 
     /**
@@ -164,7 +164,7 @@
      */
     @Test
     public void alsoWhereNothingSeemsToBeInTime() {
-      assertTrue(Placement.fits(Servers.reporting("a", 0, 1, NOW), allowed(3_000, 1_200)));
+      assertTrue(Placement.expectedInTime(Servers.reporting("a", 0, 1, NOW), allowed(3_000, 1_200)));
     }
   }
 
@@ -175,7 +175,7 @@
     private ServerState remote(int running, double slowness) {
       ServerEntry entry = new ServerEntry("remote", 0, "s", "127.0.0.1", 1, "there", 6, false, 0);
       ServerState state = new ServerState(entry, NOW);
-      state.sampled(new LoadSample(running, 0, 6, slowness), 0, NOW);
+      state.recordSample(new LoadSample(running, 0, 6, slowness), 0, NOW);
       state.idleConnections(1);
       return state;
     }
--- a/front/src/test/java/org/magnoliaswitch/front/peer/RouteUpdateCodecTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/RouteUpdateCodecTest.java
@@ -12,7 +12,7 @@
 import org.magnoliaswitch.core.crash.CrashReport;
 import org.magnoliaswitch.core.crash.RequestIdentity;
 import org.magnoliaswitch.core.peer.CrashReportCodec;
-import org.magnoliaswitch.front.load.InstancePlace;
+import org.magnoliaswitch.front.load.InstanceIndex;
 import org.magnoliaswitch.front.testing.CorruptedMessages;
 import org.magnoliaswitch.front.version.CallerLimits;
 import org.magnoliaswitch.front.version.Evacuations;
@@ -53,7 +53,7 @@
         ServerChanges.between(ServerList.EMPTY, ServerList.EMPTY),
         Evacuations.UNKNOWN,
         List.of(),
-        Optional.of(new InstancePlace(0, 1)),
+        Optional.of(new InstanceIndex(0, 1)),
         Optional.of(new ConfigurationUpdate(update.version(), 12, Optional.of(update))));
   }
 
@@ -102,7 +102,7 @@
   /** What a listener tells. */
   public static final class OfListeners {
     private static final List<CrashReport> REPORTS =
-        List.of(new CrashReport.Tried(new RequestIdentity(1, -2), 3));
+        List.of(new CrashReport.TrialStarted(new RequestIdentity(1, -2), 3));
     private static final ListenerUpdate NEWS =
         new ListenerUpdate(
             REPORTS,
