--- a/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
@@ -21,22 +21,25 @@
 import org.magnoliaswitch.front.load.ServiceLoad;
 import org.magnoliaswitch.front.process.Environment;
 
-/** One send of a request to one backend server. */
+/** One attempt to have a request served by one backend server. */
 final class Attempt {
-  /** Idle time after which a connection carries no request that may run only once. */
-  private static final long MAX_IDLE_ONCE_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
+  /** Idle time after which a connection is no longer used for non-idempotent requests. */
+  private static final long MAX_IDLE_NON_IDEMPOTENT_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-  /** Idle time after which a connection carries no request at all, if its server names none. */
+  /** Idle time after which a connection is not reused at all, unless its server states a limit. */
   private static final long MAX_IDLE_NANOS = TimeUnit.SECONDS.toNanos(20);
 
-  /** How long a server may still be at work on a request whose caller has its answer. */
-  private static final long LINGER_MILLIS = 1_500;
+  /**
+   * Time for which a server may continue a non-idempotent request after its caller has received the
+   * final answer.
+   */
+  private static final long TIMED_OUT_GRACE_MILLIS = 1_500;
 
   /**
-   * How long the loser of two sends may go on. It must end before a caller that has left since
-   * would find its work still running, which counts from half a second.
+   * Time for which the slower of two attempts may continue. Work for a caller that has left counts
+   * as still running after half a second, so the limit stays below that.
    */
-  private static final long OUTRUN_MILLIS = 300;
+  private static final long SUPERSEDED_GRACE_MILLIS = 300;
 
   private final RoutedExchange exchange;
   private final Environment environment;
@@ -45,8 +48,8 @@
   private final String requestId;
   private @Nullable ServerConnection connection;
   private long sentNanos;
-  private double slownessAtStart = 1;
-  private boolean warned;
+  private double slownessWhenSent = 1;
+  private boolean trial;
   private boolean ended;
 
   Attempt(
@@ -66,30 +69,34 @@
     return pool.state().entry().id();
   }
 
-  /** Whether the server may have received some of the request. */
+  /** Whether the server may have received a part of the request. */
   boolean written() {
     return connection != null;
   }
 
-  /** Whether the request was known for suspect when it was sent, so that this is its trial. */
-  boolean warned() {
-    return warned;
+  /**
+   * Whether this attempt is the trial of a request that was already suspected of crashing servers
+   * when it was sent.
+   */
+  boolean trial() {
+    return trial;
   }
 
   void start(boolean idempotent) {
     pool.state().sent();
-    boolean anyKept =
+    boolean reuseAny =
         idempotent || !environment.settings().mechanisms().on(Mechanism.FRESH_CONNECTIONS);
-    Optional<ServerConnection> kept = pool.takeIdle(anyKept ? MAX_IDLE_NANOS : MAX_IDLE_ONCE_NANOS);
-    if (kept.isPresent()) {
-      write(kept.get());
+    Optional<ServerConnection> idle =
+        pool.takeIdle(reuseAny ? MAX_IDLE_NANOS : MAX_IDLE_NON_IDEMPOTENT_NANOS);
+    if (idle.isPresent()) {
+      write(idle.get());
     } else {
-      pool.connect(this::connected, this::connectFailed);
+      pool.connect(this::handleConnected, this::handleConnectFailure);
     }
   }
 
-  /** Ends the attempt and the server's work on it. */
-  void abandon() {
+  /** Ends the attempt and cancels the server's work on it. */
+  void cancel() {
     if (!ended) {
       end();
       if (connection != null) {
@@ -98,45 +105,48 @@
     }
   }
 
-  /** The answer is late: the server is a worse choice for others. */
-  void overdue(double usualNanos) {
+  /** Records the answer as late, which makes the server a worse choice for other requests. */
+  void markOverdue(double usualLatencyNanos) {
     long now = environment.clocks().nanos();
-    pool.state().overdue((now - sentNanos) / usualNanos, now);
+    pool.state().overdue((now - sentNanos) / usualLatencyNanos, now);
   }
 
   /**
-   * Another server's answer was first. The rest of the work is left to end, since cutting it costs
-   * a new connection; a server that never answers is noted as failing.
+   * Called when another server answered first. The attempt may complete, since cancelling it costs
+   * a new connection; a server that does not answer in time is recorded as failing.
    */
-  void outrun() {
+  void superseded() {
     environment
         .loop()
         .afterMillis(
-            OUTRUN_MILLIS,
+            SUPERSEDED_GRACE_MILLIS,
             () -> {
               if (!ended) {
                 environment.servers().failed(pool.state(), "never_answered");
-                abandon();
+                cancel();
               }
             });
   }
 
-  /** The caller has its final answer; what the server still does is of no use. */
-  void timedOut(boolean idempotent) {
+  /**
+   * Called when the caller got its final answer by a timeout, which makes the work of the server
+   * useless.
+   */
+  void callerTimedOut(boolean idempotent) {
     if (ended || connection == null) {
-      abandon();
+      cancel();
       return;
     }
     environment.servers().failed(pool.state(), "timeout");
     if (idempotent) {
-      abandon();
+      cancel();
     } else {
-      environment.loop().afterMillis(LINGER_MILLIS, this::abandon);
+      environment.loop().afterMillis(TIMED_OUT_GRACE_MILLIS, this::cancel);
     }
   }
 
-  private void connected(ServerConnection opened) {
-    if (ended || !exchange.waiting() || !pool.state().acceptsWork()) {
+  private void handleConnected(ServerConnection opened) {
+    if (ended || !exchange.awaitsAnswer() || !pool.state().acceptsWork()) {
       pool.giveBack(opened);
       if (!ended) {
         end();
@@ -147,7 +157,7 @@
     write(opened);
   }
 
-  private void connectFailed(Throwable cause) {
+  private void handleConnectFailure(Throwable cause) {
     if (!ended) {
       end();
       environment.servers().unreachable(pool.state());
@@ -156,8 +166,8 @@
   }
 
   private void write(ServerConnection target) {
-    long leftMillis = TimeUnit.NANOSECONDS.toMillis(exchange.leftNanos());
-    if (leftMillis <= 0) {
+    long remainingMillis = TimeUnit.NANOSECONDS.toMillis(exchange.remainingNanos());
+    if (remainingMillis <= 0) {
       pool.giveBack(target);
       end();
       exchange.unreachable(this, "deadline");
@@ -166,34 +176,34 @@
     if (!environment.quotas().allowed(pool.state())) {
       pool.giveBack(target);
       end();
-      exchange.heldBack(this);
+      exchange.notAdmitted(this);
       return;
     }
-    Verdict verdict = exchange.guard().crashes().admit();
+    Verdict verdict = exchange.crashDetector().crashes().admit();
     if (verdict == Verdict.REFUSED || verdict == Verdict.WAIT) {
       pool.giveBack(target);
       end();
-      exchange.heldBack(this);
+      exchange.notAdmitted(this);
       return;
     }
-    warned = verdict == Verdict.TRIAL;
+    trial = verdict == Verdict.TRIAL;
     connection = target;
     sentNanos = environment.clocks().nanos();
     pool.state().written(sentNanos);
-    slownessAtStart = Placement.slowness(pool.state(), serviceLoad(), sentNanos);
-    exchange.sends().writing();
+    slownessWhenSent = Placement.slowness(pool.state(), serviceLoad(), sentNanos);
+    exchange.attempts().attemptStarted();
     FullHttpRequest message =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
             request.method(),
             request.target(),
             Unpooled.wrappedBuffer(request.body()));
-    message.headers().set(Headers.endToEnd(request.headers()));
-    message.headers().set(environment.names().deadlineMillis(), leftMillis);
+    message.headers().set(EndToEndHeaders.copyOf(request.headers()));
+    message.headers().set(environment.names().deadlineMillis(), remainingMillis);
     message.headers().set(environment.names().expectedServer(), serverId());
-    boolean sized =
+    boolean declaresLength =
         request.body().length > 0 || request.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
-    if (sized || request.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)) {
+    if (declaresLength || request.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)) {
       message.headers().set(HttpHeaderNames.CONTENT_LENGTH, request.body().length);
     }
     environment
@@ -201,79 +211,80 @@
         .routine("send")
         .add("request", requestId)
         .add("server", serverId())
-        .add("left_ms", leftMillis)
+        .add("left_ms", remainingMillis)
         .add("held", pool.state().sample().held())
         .addDecimal("slowness", pool.state().sample().slowness())
         .add("sample_age_ms", TimeUnit.NANOSECONDS.toMillis(pool.state().sampleAgeNanos(sentNanos)))
         .add("in_flight", pool.state().inFlight())
-        .add("near", String.valueOf(near()))
+        .add("near", String.valueOf(inOwnDataCentre()))
         .write();
-    Optional<String> echoed = Optional.of(requestId).filter(id -> !id.isEmpty());
-    target.send(message, echoed, this::replied);
+    Optional<String> echoedId = Optional.of(requestId).filter(id -> !id.isEmpty());
+    target.send(message, echoedId, this::handleReply);
   }
 
-  private boolean near() {
+  private boolean inOwnDataCentre() {
     return pool.state().entry().dataCentre().equals(environment.settings().dataCentre());
   }
 
-  private void replied(ServerReply reply) {
+  private void handleReply(ServerReply reply) {
     if (ended) {
       return;
     }
     end();
     switch (reply) {
-      case ServerReply.Whole whole -> whole(whole);
+      case ServerReply.Whole whole -> handleAnswer(whole);
       case ServerReply.Broken broken -> {
         environment.servers().failed(pool.state(), "broken");
-        exchange.guard().broke(pool, warned);
+        exchange.crashDetector().connectionBroken(pool, trial);
         exchange.broken(this, broken.reason());
       }
     }
   }
 
-  private void whole(ServerReply.Whole whole) {
-    learnLoad(whole);
-    int status = whole.status().code();
+  private void handleAnswer(ServerReply.Whole answer) {
+    recordLoad(answer);
+    int status = answer.status().code();
     if (status == HttpResponseStatus.MISDIRECTED_REQUEST.code()) {
       pool.state().markGone();
       environment.log().belief("server_replaced").add("server", serverId()).write();
       exchange.rejected(this, status);
-    } else if (whole.headers().contains(environment.names().notExecuted())) {
-      environment.notices().heard(pool.state(), notice(whole));
+    } else if (answer.headers().contains(environment.names().notExecuted())) {
+      environment.notices().heard(pool.state(), notice(answer));
       environment.servers().failed(pool.state(), "rejected");
       exchange.rejected(this, status);
     } else {
-      environment.notices().answered(pool.state(), notice(whole), sentNanos);
-      exchange.guard().answered(pool, sentNanos);
-      judge(status);
-      exchange.answered(this, whole);
+      environment.notices().answered(pool.state(), notice(answer), sentNanos);
+      exchange.crashDetector().answered(pool, sentNanos);
+      recordResult(status);
+      exchange.answered(this, answer);
     }
   }
 
-  private ServerNotice notice(ServerReply.Whole whole) {
-    return NoticeHeaders.read(whole, environment.names());
+  private ServerNotice notice(ServerReply.Whole answer) {
+    return NoticeHeaders.read(answer, environment.names());
   }
 
-  private void judge(int status) {
+  private void recordResult(int status) {
     if (status >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code()) {
       environment.servers().failed(pool.state(), "error");
       return;
     }
-    exchange.learnLatency(environment.clocks().nanos() - sentNanos, slownessAtStart, pool.state());
+    exchange.recordLatency(
+        environment.clocks().nanos() - sentNanos, slownessWhenSent, pool.state());
   }
 
-  private void learnLoad(ServerReply.Whole whole) {
-    String load = whole.headers().get(environment.names().load());
+  private void recordLoad(ServerReply.Whole answer) {
+    String load = answer.headers().get(environment.names().load());
     if (load != null) {
-      int own = pool.state().inFlight();
-      LoadSample.parse(load).ifPresent(sample -> sampled(sample, own));
+      int ownInFlight = pool.state().inFlight();
+      LoadSample.parse(load).ifPresent(sample -> recordSample(sample, ownInFlight));
     }
   }
 
-  private void sampled(LoadSample told, int own) {
+  private void recordSample(LoadSample reported, int ownInFlight) {
     ServiceLoad service = serviceLoad();
-    LoadSample sample = service.afterAnswer(told, environment.settings().mechanisms());
-    pool.state().sampled(sample, own, environment.clocks().nanos());
+    LoadSample sample = service.afterAnswer(reported, environment.settings().mechanisms());
+    pool.state().sampled(sample, ownInFlight, environment.clocks().nanos());
     service.sampled(sample);
   }
 
--- /dev/null
+++ b/front/src/main/java/org/magnoliaswitch/front/request/CallerAnswers.java
@@ -0,0 +1,62 @@
+package org.magnoliaswitch.front.request;
+
+import io.netty.handler.codec.http.DefaultHttpHeaders;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import java.math.BigDecimal;
+import java.nio.charset.StandardCharsets;
+import java.util.concurrent.TimeUnit;
+import org.magnoliaswitch.front.connection.CallerAnswer;
+import org.magnoliaswitch.front.connection.ServerReply;
+
+/** Builds the answers that callers receive. */
+final class CallerAnswers {
+  private CallerAnswers() {}
+
+  /**
+   * Answers that the request was not executed and never will be, and that the caller may retry.
+   *
+   * @param retryAfterNanos time after which the caller may retry
+   */
+  static CallerAnswer notExecuted(String reason, long retryAfterNanos) {
+    HttpHeaders headers = new DefaultHttpHeaders();
+    BigDecimal seconds = BigDecimal.valueOf(TimeUnit.NANOSECONDS.toMillis(retryAfterNanos), 3);
+    headers.set(HttpHeaderNames.RETRY_AFTER, seconds.toPlainString());
+    return plainText(HttpResponseStatus.SERVICE_UNAVAILABLE, headers, reason);
+  }
+
+  /**
+   * Forwards the answer of a server to a request that may have been executed. Statuses from which
+   * callers would conclude that it was not executed are replaced by 502.
+   */
+  static CallerAnswer forwarded(ServerReply.Whole answer) {
+    return impliesNotExecuted(answer.status().code())
+        ? possiblyExecuted(HttpResponseStatus.BAD_GATEWAY, "unconfirmed_refusal")
+        : new CallerAnswer(
+            answer.status(), EndToEndHeaders.copyOf(answer.headers()), answer.body());
+  }
+
+  /** Answers that the request may have been executed. */
+  static CallerAnswer possiblyExecuted(HttpResponseStatus status, String reason) {
+    return plainText(status, new DefaultHttpHeaders(), reason);
+  }
+
+  /** Answers that no route matches the request. */
+  static CallerAnswer noRoute() {
+    return plainText(HttpResponseStatus.NOT_FOUND, new DefaultHttpHeaders(), "no_route");
+  }
+
+  /** Whether callers conclude from the status that a request was not executed. */
+  private static boolean impliesNotExecuted(int status) {
+    return status == HttpResponseStatus.REQUEST_TIMEOUT.code()
+        || status == HttpResponseStatus.TOO_MANY_REQUESTS.code()
+        || status == HttpResponseStatus.SERVICE_UNAVAILABLE.code();
+  }
+
+  private static CallerAnswer plainText(
+      HttpResponseStatus status, HttpHeaders headers, String body) {
+    headers.set(HttpHeaderNames.CONTENT_TYPE, "text/plain");
+    return new CallerAnswer(status, headers, body.getBytes(StandardCharsets.UTF_8));
+  }
+}
--- a/front/src/main/java/org/magnoliaswitch/front/request/CrashGuard.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/CrashDetector.java
@@ -7,51 +7,55 @@
 import org.magnoliaswitch.front.connection.ServerPool;
 import org.magnoliaswitch.front.process.Environment;
 
-/** Finds out whether servers end under one request, and reports it. */
-final class CrashGuard {
-  /** News reach all instances in two hops, gathered for a few milliseconds at each. */
-  private static final long TRIAL_NOTICE_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+/** Detects whether servers crash while serving one request, and reports it. */
+final class CrashDetector {
+  /**
+   * Time until all instances know of a trial: updates reach them in two hops and are batched for a
+   * few milliseconds at each.
+   */
+  private static final long TRIAL_PROPAGATION_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
   private final Environment environment;
   private final String requestId;
   private final RequestCrashes crashes;
 
-  CrashGuard(Environment environment, CallerRequest request) {
+  CrashDetector(Environment environment, CallerRequest request) {
     this.environment = environment;
     this.requestId = request.headers().get(environment.names().requestId(), "");
     this.crashes =
         new RequestCrashes(
             environment.crashes(),
             environment.clocks(),
-            TRIAL_NOTICE_NANOS,
+            TRIAL_PROPAGATION_NANOS,
             () -> Identities.of(request.identity(), request.caller()));
   }
 
-  /** What the request may do. */
+  /** State of the request as a possible cause of crashes. */
   RequestCrashes crashes() {
     return crashes;
   }
 
   /**
-   * The connection ended under the request. Whether its server did shows by the next connection: a
-   * server that lives takes one, and a process that is gone has nobody listening.
+   * Handles a connection that broke while its server had the request. Whether the server crashed
+   * shows when another connection is opened: a running server accepts it, while nobody listens at
+   * the port of a process that has exited.
    *
-   * @param warned whether the request was known for suspect when it was sent
+   * @param trial whether the attempt was the trial of a suspect request
    */
-  void broke(ServerPool pool, boolean warned) {
+  void connectionBroken(ServerPool pool, boolean trial) {
     String server = pool.state().entry().incarnation();
     crashes.perhapsEnded(server);
     pool.findWhetherEnded(
-        ended -> {
-          if (ended) {
+        crashed -> {
+          if (crashed) {
             environment.servers().unreachable(pool.state());
-            tell(server, warned);
+            logCrash(server, trial);
           }
-          crashes.lookedAt(server, ended, warned);
+          crashes.lookedAt(server, crashed, trial);
         });
   }
 
-  private void tell(String server, boolean warned) {
+  private void logCrash(String server, boolean trial) {
     environment
         .log()
         .trouble("server_ended")
@@ -59,11 +63,11 @@
         .add("request", requestId)
         .add("identity", crashes.identities().content().toString())
         .add("of_caller", crashes.identities().ofCaller().toString())
-        .add("warned", String.valueOf(warned))
+        .add("warned", String.valueOf(trial))
         .write();
   }
 
-  /** The server has run the request and answered. */
+  /** Records that the server has executed the request and answered. */
   void answered(ServerPool pool, long sentNanos) {
     crashes.answered(pool.state().entry().incarnation(), sentNanos);
   }
--- a/front/src/main/java/org/magnoliaswitch/front/request/Headers.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/EndToEndHeaders.java
@@ -5,9 +5,9 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.List;
 
-/** Which headers go on to the next hop. */
-final class Headers {
-  private static final List<CharSequence> ONE_CONNECTION_ONLY =
+/** Selects the headers that are forwarded to the next hop. */
+final class EndToEndHeaders {
+  private static final List<CharSequence> HOP_BY_HOP =
       List.of(
           HttpHeaderNames.CONNECTION,
           "keep-alive",
@@ -20,10 +20,10 @@
           HttpHeaderNames.UPGRADE,
           HttpHeaderNames.EXPECT);
 
-  private Headers() {}
+  private EndToEndHeaders() {}
 
-  /** A copy without the headers that concern one connection only. */
-  static HttpHeaders endToEnd(HttpHeaders headers) {
+  /** A copy without the hop-by-hop headers, which concern a single connection. */
+  static HttpHeaders copyOf(HttpHeaders headers) {
     HttpHeaders copy = new DefaultHttpHeaders().set(headers);
     for (String listed : headers.getAll(HttpHeaderNames.CONNECTION)) {
       for (String name : listed.split(",", -1)) {
@@ -32,7 +32,7 @@
         }
       }
     }
-    ONE_CONNECTION_ONLY.forEach(copy::remove);
+    HOP_BY_HOP.forEach(copy::remove);
     return copy;
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/request/Exchange.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Exchange.java
@@ -14,24 +14,27 @@
 import org.magnoliaswitch.front.version.Route;
 
 /**
- * One request of a caller, from its last byte to its final answer: until its route is known here,
- * and from then on as a {@link RoutedExchange}.
+ * One request of a caller, from its last byte to its final answer. It is delegated to a {@link
+ * RoutedExchange} once its route is known.
  */
 final class Exchange implements RequestHandler.Call {
-  /** Stands for the usual latency while there is no configuration: a start takes about as long. */
+  /**
+   * Stands in for the usual latency while there is no configuration: the start of an instance takes
+   * about as long.
+   */
   private static final double UNKNOWN_LATENCY_NANOS = TimeUnit.MILLISECONDS.toNanos(160);
 
-  private static final String NO_ROUTE = "-";
+  private static final String UNKNOWN_ROUTE = "-";
 
   /**
-   * Within so long a change of the configuration is in force everywhere. Where it has not been
-   * known to be the newest for longer, a route that is missing may have been added.
+   * Time within which a change of the configuration is in force everywhere. If the configuration
+   * has not been confirmed as the newest for longer, a missing route may have been added since.
    */
-  private static final long VOUCHED_MILLIS = 2_000;
+  private static final long MAX_CONFIGURATION_AGE_MILLIS = 2_000;
 
   private final Environment environment;
   private final ServerFinder finder;
-  private final PendingQueue<Placing> pending;
+  private final PendingQueue<RequestPlacement> pendingQueue;
   private final CallerRequest request;
   private final Consumer<CallerAnswer> answer;
   private final RequestReport report;
@@ -41,42 +44,48 @@
   Exchange(
       Environment environment,
       ServerFinder finder,
-      PendingQueue<Placing> pending,
+      PendingQueue<RequestPlacement> pendingQueue,
       CallerRequest request,
       Consumer<CallerAnswer> answer) {
     this.environment = environment;
     this.finder = finder;
-    this.pending = pending;
+    this.pendingQueue = pendingQueue;
     this.request = request;
     this.answer = answer;
     String requestId = request.headers().get(environment.names().requestId(), "");
     this.report = new RequestReport(environment, requestId);
   }
 
-  /** Begins; the route is looked up once there is a configuration. */
+  /**
+   * Starts processing.
+   *
+   * @param router looks up the route; called once there is a configuration
+   */
   void start(Supplier<Optional<Route>> router) {
-    new FirstConfiguration(environment, request.readNanos())
-        .await(() -> !done, () -> begin(router.get()), this::refuseUnconfigured);
+    new FirstConfigurationWait(environment, request.readNanos())
+        .await(() -> !done, () -> process(router.get()), this::refuseUnconfigured);
   }
 
-  private void begin(Optional<Route> found) {
-    if (found.isEmpty()) {
-      refuseUnknown();
+  private void process(Optional<Route> route) {
+    if (route.isEmpty()) {
+      refuseUnrouted();
       return;
     }
-    RoutedExchange begun =
-        new RoutedExchange(environment, finder, pending, request, found.get(), report, answer);
-    routed = Optional.of(begun);
-    begun.start();
+    RoutedExchange exchange =
+        new RoutedExchange(environment, finder, pendingQueue, request, route.get(), report, answer);
+    routed = Optional.of(exchange);
+    exchange.start();
   }
 
-  /** Callers do not come back after a 404, so it is said only while the configuration is fresh. */
-  private void refuseUnknown() {
+  /**
+   * Answers 404 only while the configuration is fresh, because callers do not retry after a 404.
+   */
+  private void refuseUnrouted() {
     long age = environment.routesFreshness().ageMillis(environment.clocks().nanos());
-    if (age > VOUCHED_MILLIS) {
+    if (age > MAX_CONFIGURATION_AGE_MILLIS) {
       refuse("stale_configuration");
     } else {
-      finish(Answers.noRoute(), "no_route");
+      finish(CallerAnswers.noRoute(), "no_route");
     }
   }
 
@@ -84,7 +93,10 @@
     refuse("no_configuration");
   }
 
-  /** The request has not run; another instance may know more, or this one soon. */
+  /**
+   * Refuses the request as not executed: a retry may succeed at another instance, or here a little
+   * later.
+   */
   private void refuse(String reason) {
     long retryAfter =
         RetryAfter.nanos(
@@ -92,8 +104,8 @@
             UNKNOWN_LATENCY_NANOS,
             environment.random(),
             environment.settings().mechanisms());
-    report.refused("", reason, waitedNanos(), retryAfter);
-    finish(Answers.notRun(reason, retryAfter), reason);
+    report.requestRefused("", reason, waitedNanos(), retryAfter);
+    finish(CallerAnswers.notExecuted(reason, retryAfter), reason);
   }
 
   @Override
@@ -106,7 +118,7 @@
     }
   }
 
-  /** Something new is known of requests under which servers end. */
+  /** Reacts to a change in what is known of requests that crash servers. */
   void crashesChanged() {
     routed.ifPresent(RoutedExchange::crashesChanged);
   }
@@ -118,7 +130,7 @@
   }
 
   private void reportEnd(String outcome, int status) {
-    report.end(NO_ROUTE, "", outcome, status, 0, List.of(), waitedNanos(), 0);
+    report.requestEnded(UNKNOWN_ROUTE, "", outcome, status, 0, List.of(), waitedNanos(), 0);
   }
 
   private long waitedNanos() {
--- /dev/null
+++ b/front/src/main/java/org/magnoliaswitch/front/request/ExecutionState.java
@@ -0,0 +1,47 @@
+package org.magnoliaswitch.front.request;
+
+import io.netty.handler.codec.http.HttpResponseStatus;
+import java.util.Optional;
+import org.jspecify.annotations.Nullable;
+import org.magnoliaswitch.front.connection.CallerAnswer;
+
+/** Records what the attempts of a request revealed about its execution, for its final answer. */
+final class ExecutionState {
+  private boolean possiblyExecuted;
+  private @Nullable CallerAnswer serverFailure;
+
+  /**
+   * A final answer.
+   *
+   * @param outcome the outcome as logged, a single word
+   */
+  record FinalAnswer(CallerAnswer answer, String outcome) {}
+
+  /** Records an attempt that brought no answer after a part of the request was written. */
+  void attemptBroken() {
+    possiblyExecuted = true;
+  }
+
+  /** Records a server that executed the request and answered with a failure. */
+  void serverFailed(CallerAnswer failure) {
+    possiblyExecuted = true;
+    serverFailure = failure;
+  }
+
+  /**
+   * The final answer of a request that is given up; empty if it was not executed.
+   *
+   * @param status status for a request that may have been executed
+   * @param written whether a server may be at work on it now
+   */
+  Optional<FinalAnswer> finalAnswer(HttpResponseStatus status, String reason, boolean written) {
+    if (serverFailure != null) {
+      // The server executed the request, so its answer tells the caller more than one of this
+      // instance.
+      return Optional.of(new FinalAnswer(serverFailure, RequestReport.SERVER_FAILED));
+    }
+    return possiblyExecuted || written
+        ? Optional.of(new FinalAnswer(CallerAnswers.possiblyExecuted(status, reason), reason))
+        : Optional.empty();
+  }
+}
--- a/front/src/main/java/org/magnoliaswitch/front/request/FrontDispatcher.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/FrontDispatcher.java
@@ -17,27 +17,27 @@
 
 /** Starts an {@link Exchange} for each request of a caller. */
 public final class FrontDispatcher implements RequestHandler {
-  private static final int LOGGED_TARGET_LENGTH = 200;
+  private static final int MAX_LOGGED_TARGET_LENGTH = 200;
 
   private final Environment environment;
-  private final ServerSearch search;
-  private final PendingQueue<Placing> pending;
-  private final Set<Exchange> underWay = new HashSet<>();
+  private final ServerSearch finder;
+  private final PendingQueue<RequestPlacement> pendingQueue;
+  private final Set<Exchange> activeExchanges = new HashSet<>();
 
   public FrontDispatcher(Environment environment) {
     this.environment = environment;
-    this.pending = new PendingQueue<>(environment.settings().mechanisms());
-    this.search = new ServerSearch(environment, new Probes(environment));
-    environment.crashes().listen(lesson -> environment.loop().execute(this::crashesChanged));
+    this.pendingQueue = new PendingQueue<>(environment.settings().mechanisms());
+    this.finder = new ServerSearch(environment, new LoadProber(environment));
+    environment.crashes().listen(change -> environment.loop().execute(this::crashesChanged));
   }
 
   private void crashesChanged() {
-    List.copyOf(underWay).forEach(Exchange::crashesChanged);
+    List.copyOf(activeExchanges).forEach(Exchange::crashesChanged);
   }
 
   @Override
   public boolean idempotent(CallerRequest request) {
-    // Before the first configuration nothing is known to be harmless beside others.
+    // Without a configuration, no request is known to be safe to process concurrently with others.
     return environment.routes().get().known() && route(request).map(Route::idempotent).orElse(true);
   }
 
@@ -48,16 +48,16 @@
         .log()
         .trouble("unreadable")
         .add("request", head.map(this::requestId).orElse(""))
-        .add("target", head.map(FrontDispatcher::shortTarget).orElse(""))
+        .add("target", head.map(FrontDispatcher::truncatedTarget).orElse(""))
         .add("status", status.code())
         .add("reason", reason)
         .add("version", environment.routes().get().version())
         .write();
   }
 
-  private static String shortTarget(HttpRequest request) {
+  private static String truncatedTarget(HttpRequest request) {
     String target = request.uri();
-    return target.substring(0, Math.min(target.length(), LOGGED_TARGET_LENGTH));
+    return target.substring(0, Math.min(target.length(), MAX_LOGGED_TARGET_LENGTH));
   }
 
   private String requestId(HttpRequest request) {
@@ -66,37 +66,37 @@
 
   @Override
   public Call start(CallerRequest request, Consumer<CallerAnswer> answer) {
-    UnderWay call = new UnderWay(request, answer);
-    underWay.add(call.exchange);
+    ActiveCall call = new ActiveCall(request, answer);
+    activeExchanges.add(call.exchange);
     call.exchange.start(() -> route(request));
     return call;
   }
 
-  /** A request until its answer is given or its caller has left. */
-  private final class UnderWay implements Call {
+  /** A request until it is answered or its caller has left. */
+  private final class ActiveCall implements Call {
     private final Exchange exchange;
 
-    UnderWay(CallerRequest request, Consumer<CallerAnswer> answer) {
+    ActiveCall(CallerRequest request, Consumer<CallerAnswer> answer) {
       this.exchange =
           new Exchange(
               environment,
-              search,
-              pending,
+              finder,
+              pendingQueue,
               request,
-              given -> {
-                ended();
-                answer.accept(given);
+              result -> {
+                remove();
+                answer.accept(result);
               });
     }
 
     @Override
     public void callerLeft() {
-      ended();
+      remove();
       exchange.callerLeft();
     }
 
-    private void ended() {
-      underWay.remove(exchange);
+    private void remove() {
+      activeExchanges.remove(exchange);
     }
   }
 
--- /dev/null
+++ b/front/src/main/java/org/magnoliaswitch/front/request/FurtherAttempts.java
@@ -0,0 +1,99 @@
+package org.magnoliaswitch.front.request;
+
+import java.util.Optional;
+import org.magnoliaswitch.core.process.RequestCrashes;
+import org.magnoliaswitch.front.load.Fallback;
+import org.magnoliaswitch.front.load.Mechanism;
+import org.magnoliaswitch.front.load.SharedRetryBudget;
+import org.magnoliaswitch.front.process.Environment;
+import org.magnoliaswitch.front.version.Route;
+
+/** Counts the attempts of one request, and decides whether a further attempt is allowed. */
+final class FurtherAttempts {
+  private final Environment environment;
+  private final Route route;
+  private final String service;
+  private final RequestTimes times;
+  private final RequestReport report;
+  private final RequestCrashes crashes;
+  private int attempts;
+
+  FurtherAttempts(
+      Environment environment,
+      Route route,
+      String service,
+      RequestTimes times,
+      RequestReport report,
+      RequestCrashes crashes) {
+    this.environment = environment;
+    this.route = route;
+    this.service = service;
+    this.times = times;
+    this.report = report;
+    this.crashes = crashes;
+  }
+
+  /** Counts an attempt; called right before its first byte is written. */
+  void attemptStarted() {
+    attempts++;
+  }
+
+  /** Number of attempts so far. */
+  int count() {
+    return attempts;
+  }
+
+  /**
+   * Whether a further attempt is allowed after a server rejected the request; an allowed attempt is
+   * charged to the retry budget.
+   */
+  boolean mayRetryAfterRejection() {
+    boolean prioritized = environment.settings().mechanisms().on(Mechanism.LAST_TRIES_FIRST);
+    return mayRetry(prioritized ? times.fallback() : Fallback.NONE);
+  }
+
+  /**
+   * Whether a further attempt is allowed after one that brought no answer or a failure; an allowed
+   * attempt is charged to the retry budget.
+   */
+  boolean mayRetry() {
+    return mayRetry(Fallback.NONE);
+  }
+
+  /**
+   * Whether a further attempt is allowed beside one whose answer is overdue; an allowed attempt is
+   * charged to the retry budget.
+   */
+  boolean mayHedge() {
+    if (!crashes.mayHedge()) {
+      report.furtherAttemptDenied(service, RoutedExchange.CRASHES_SERVERS, times.remainingNanos());
+      return false;
+    }
+    return mayRetry();
+  }
+
+  private boolean mayRetry(Fallback fallback) {
+    Optional<String> denialReason = denialReason(fallback);
+    denialReason.ifPresent(
+        reason -> report.furtherAttemptDenied(service, reason, times.remainingNanos()));
+    return denialReason.isEmpty();
+  }
+
+  private Optional<String> denialReason(Fallback fallback) {
+    if (attempts >= route.maxServers()) {
+      return Optional.of("most_servers");
+    }
+    if (!crashes.mayRepeat()) {
+      return Optional.of(RoutedExchange.CRASHES_SERVERS);
+    }
+    if (times.remainingNanos() <= 0) {
+      return Optional.of("no_time");
+    }
+    SharedRetryBudget budget = environment.routeState().budget(service);
+    long now = environment.clocks().nanos();
+    if (budget.spend(fallback, environment.instances().count(), now)) {
+      return Optional.empty();
+    }
+    return Optional.of(fallback == Fallback.NONE ? "no_budget" : "caller_returns");
+  }
+}
--- /dev/null
+++ b/front/src/main/java/org/magnoliaswitch/front/request/LoadProber.java
@@ -0,0 +1,241 @@
+package org.magnoliaswitch.front.request;
+
+import io.netty.buffer.Unpooled;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpVersion;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.WeakHashMap;
+import java.util.concurrent.TimeUnit;
+import org.jspecify.annotations.Nullable;
+import org.magnoliaswitch.front.connection.ServerConnection;
+import org.magnoliaswitch.front.connection.ServerPool;
+import org.magnoliaswitch.front.connection.ServerReply;
+import org.magnoliaswitch.front.load.LoadSample;
+import org.magnoliaswitch.front.load.ProbeShare;
+import org.magnoliaswitch.front.load.RateLimit;
+import org.magnoliaswitch.front.load.ServerState;
+import org.magnoliaswitch.front.process.Environment;
+
+/**
+ * Probes candidate servers for their load right before a request is placed.
+ *
+ * <p>A neighbour makes a server several times slower for a few hundred milliseconds, so the samples
+ * from other answers are mostly too old. A probe also proves that a kept connection still works
+ * before a non-idempotent request is written on it.
+ */
+final class LoadProber {
+  /**
+   * Time after which a round does not wait for further answers. It is enough to open a connection
+   * to another data centre.
+   */
+  private static final long ROUND_TIMEOUT_MILLIS = 12;
+
+  /** Time after which a connection that has not answered a health check counts as hung. */
+  private static final long PROBE_TIMEOUT_MILLIS = 300;
+
+  /** Idle time up to which a kept connection may carry a health check. */
+  private static final long MAX_IDLE_NANOS = TimeUnit.SECONDS.toNanos(30);
+
+  /** Number of probes of one server that may be sent at once after a pause. */
+  private static final double BURST = 4;
+
+  /** A remaining time in milliseconds, with or without a fraction. */
+  private static final String MILLIS_PATTERN = "[0-9]{1,9}([.][0-9]{1,9})?";
+
+  private final Environment environment;
+  private final Map<ServerState, RateLimit> limits = new WeakHashMap<>();
+
+  LoadProber(Environment environment) {
+    this.environment = environment;
+  }
+
+  /**
+   * Probes each candidate on a kept connection, or on a new one if there is none. The request would
+   * need such a connection itself, and if its server is not chosen, it stays open for the next
+   * request. Where each instance sees few requests, only half of the probes could be sent without
+   * new connections.
+   *
+   * @param onComplete runs when it is time to choose a server
+   */
+  void probe(List<ServerPool> candidates, String healthPath, Runnable onComplete) {
+    ProbeRound round = new ProbeRound(onComplete);
+    for (ServerPool pool : candidates) {
+      if (tryAcquire(pool)) {
+        round.probe(pool, healthPath);
+      }
+    }
+    round.start();
+  }
+
+  private boolean tryAcquire(ServerPool pool) {
+    long now = environment.clocks().nanos();
+    if (!acceptsProbes(pool.state())) {
+      return false;
+    }
+    double perSecond =
+        ProbeShare.perSecond(
+            environment.settings().probesPerServer(),
+            environment.instances().count(),
+            environment.servers().part(pool.state().entry().service()));
+    return limits
+        .computeIfAbsent(pool.state(), server -> new RateLimit(BURST, now))
+        .take(perSecond, now);
+  }
+
+  /** Whether a server may be probed now; checked again once a connection for the probe is open. */
+  private boolean acceptsProbes(ServerState server) {
+    return server.acceptsWork() && server.backpressure().allowsChecks(environment.clocks().nanos());
+  }
+
+  /** The probes that are sent for one choice. */
+  private final class ProbeRound {
+    private final Runnable onComplete;
+    private int outstanding;
+    private boolean completed;
+
+    ProbeRound(Runnable onComplete) {
+      this.onComplete = onComplete;
+    }
+
+    void probe(ServerPool pool, String healthPath) {
+      Optional<ServerConnection> idle = pool.takeIdle(MAX_IDLE_NANOS);
+      if (idle.isPresent()) {
+        outstanding++;
+        probe(pool, idle.get(), healthPath);
+      } else if (pool.size() == 0 && !pool.opening()) {
+        outstanding++;
+        pool.connect(
+            opened -> handleConnected(pool, opened, healthPath),
+            cause -> handleConnectFailure(pool));
+      }
+    }
+
+    private void handleConnectFailure(ServerPool pool) {
+      environment.servers().unreachable(pool.state());
+      probeEnded();
+    }
+
+    private void handleConnected(ServerPool pool, ServerConnection opened, String healthPath) {
+      if (acceptsProbes(pool.state())) {
+        probe(pool, opened, healthPath);
+      } else {
+        pool.giveBack(opened);
+        probeEnded();
+      }
+    }
+
+    private void probe(ServerPool pool, ServerConnection connection, String healthPath) {
+      FullHttpRequest request =
+          new DefaultFullHttpRequest(
+              HttpVersion.HTTP_1_1, HttpMethod.GET, healthPath, Unpooled.EMPTY_BUFFER);
+      request.headers().set(HttpHeaderNames.HOST, pool.state().entry().host());
+      request.headers().set(environment.names().expectedServer(), pool.state().entry().id());
+      Probe probe = new Probe(this, pool, connection);
+      connection.send(request, Optional.empty(), probe::handleReply);
+      environment.loop().afterMillis(PROBE_TIMEOUT_MILLIS, probe::handleTimeout);
+    }
+
+    void start() {
+      if (outstanding == 0) {
+        complete();
+      } else {
+        environment.loop().afterMillis(ROUND_TIMEOUT_MILLIS, this::complete);
+      }
+    }
+
+    void probeEnded() {
+      outstanding--;
+      if (outstanding == 0) {
+        // Deferred, so that the connections that answered are back in their pools.
+        environment.loop().execute(this::complete);
+      }
+    }
+
+    private void complete() {
+      if (!completed) {
+        completed = true;
+        onComplete.run();
+      }
+    }
+  }
+
+  /** One probe of one server. */
+  private final class Probe {
+    private final ProbeRound round;
+    private final ServerPool pool;
+    private final ServerConnection connection;
+    private boolean ended;
+
+    Probe(ProbeRound round, ServerPool pool, ServerConnection connection) {
+      this.round = round;
+      this.pool = pool;
+      this.connection = connection;
+    }
+
+    void handleReply(ServerReply reply) {
+      ended = true;
+      boolean answered = reply instanceof ServerReply.Whole;
+      environment.metrics().count("probes", service(), answered ? "answered" : "broken");
+      if (reply instanceof ServerReply.Whole whole) {
+        recordAnswer(whole);
+      }
+      round.probeEnded();
+    }
+
+    private String service() {
+      return pool.state().entry().service();
+    }
+
+    void handleTimeout() {
+      if (!ended) {
+        ended = true;
+        environment.metrics().count("probes", service(), "silent");
+        connection.abandon();
+        environment.servers().failed(pool.state(), "probe_silent");
+        environment.log().trouble("probe_silent").add("server", pool.state().entry().id()).write();
+        round.probeEnded();
+      }
+    }
+
+    private void recordSample(LoadSample sample, int ownInFlight) {
+      pool.state().sampled(sample, ownInFlight, environment.clocks().nanos());
+      environment.routeState().load(service()).sampled(sample);
+    }
+
+    private void recordWarmup(@Nullable String remainingMillis) {
+      if (remainingMillis != null && remainingMillis.matches(MILLIS_PATTERN)) {
+        long remainingNanos =
+            TimeUnit.MILLISECONDS.toNanos((long) Double.parseDouble(remainingMillis));
+        pool.state().warmupTold(remainingNanos, environment.clocks().nanos());
+      }
+    }
+
+    private void recordAnswer(ServerReply.Whole answer) {
+      String id = answer.headers().get(environment.names().serverId());
+      if (id != null && !id.equals(pool.state().entry().id())) {
+        pool.state().markGone();
+        environment
+            .log()
+            .belief("server_replaced")
+            .add("server", pool.state().entry().id())
+            .add("found", id)
+            .write();
+        return;
+      }
+      environment.notices().heard(pool.state(), NoticeHeaders.read(answer, environment.names()));
+      recordWarmup(answer.headers().get(environment.names().warmupLeft()));
+      String load = answer.headers().get(environment.names().load());
+      if (load == null) {
+        environment.routeState().load(service()).toldNothing();
+      } else {
+        int ownInFlight = pool.state().inFlight();
+        LoadSample.parse(load).ifPresent(sample -> recordSample(sample, ownInFlight));
+      }
+    }
+  }
+}
--- a/front/src/main/java/org/magnoliaswitch/front/request/NoticeHeaders.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/NoticeHeaders.java
@@ -11,28 +11,28 @@
 import org.magnoliaswitch.front.load.ServerNotice;
 import org.magnoliaswitch.front.version.HeaderNames;
 
-/** Reads what a backend server asks of its callers from the headers of its answer. */
+/** Parses what a backend server asks of its callers from the headers of its answer. */
 final class NoticeHeaders {
-  /** How a server may say that it does not leave. */
-  private static final String NO = "0";
+  /** Value of the header by which a server states that it is not leaving. */
+  private static final String NOT_LEAVING = "0";
 
   private static final Pattern DECIMAL = Pattern.compile("[0-9]{1,9}([.][0-9]{1,9})?");
 
   private NoticeHeaders() {}
 
-  /** The notice in an answer; a value that is no number asks for nothing. */
+  /** The notice in an answer; a value that is not a valid number is ignored. */
   static ServerNotice read(ServerReply.Whole answer, HeaderNames names) {
-    boolean leaving = !answer.headers().get(names.leaving(), NO).equals(NO);
+    boolean leaving = !answer.headers().get(names.leaving(), NOT_LEAVING).equals(NOT_LEAVING);
     Optional<Double> limit = decimal(answer.headers().get(names.requestLimit()));
     OptionalLong pause =
-        turnedAway(answer)
+        rejected(answer)
             ? RetryAfterHeader.nanos(answer.headers().get(RetryAfterHeader.NAME))
             : OptionalLong.empty();
     return new ServerNotice(
         leaving, limit.map(OptionalDouble::of).orElseGet(OptionalDouble::empty), pause.orElse(0));
   }
 
-  private static boolean turnedAway(ServerReply.Whole answer) {
+  private static boolean rejected(ServerReply.Whole answer) {
     int status = answer.status().code();
     return status == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
         || status == HttpResponseStatus.TOO_MANY_REQUESTS.code();
--- /dev/null
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RequestPlacement.java
@@ -0,0 +1,216 @@
+package org.magnoliaswitch.front.request;
+
+import java.util.Collection;
+import java.util.HashSet;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.magnoliaswitch.core.crash.Verdict;
+import org.magnoliaswitch.front.load.Mechanism;
+import org.magnoliaswitch.front.load.Mechanisms;
+import org.magnoliaswitch.front.load.PendingQueue;
+import org.magnoliaswitch.front.load.RetryAfter;
+import org.magnoliaswitch.front.load.ServerState;
+import org.magnoliaswitch.front.load.Timeliness;
+import org.magnoliaswitch.front.load.WaitLimit;
+import org.magnoliaswitch.front.loop.Loop;
+import org.magnoliaswitch.front.version.Route;
+
+/** Finds servers for one request, and keeps it in a queue while all of them are busy. */
+final class RequestPlacement implements PendingQueue.Entry {
+  /** Interval between two searches for capacity while no answer of a server reports any. */
+  private static final long SEARCH_INTERVAL_MILLIS = 12;
+
+  /** The request that is placed. */
+  interface Owner {
+    /** Whether the request still needs an answer. */
+    boolean awaitsAnswer();
+
+    /** What may be done with the request, considering the servers that crashed while serving it. */
+    Verdict verdict();
+
+    /** Refuses the request because it crashes servers. */
+    void refuseCrashing();
+
+    /** Starts an attempt at a server. */
+    void startAttempt(ServerState server);
+
+    /** Ends the request because no server gets it. */
+    void giveUp(String reason, RetryAfter.Cause cause);
+  }
+
+  private final Loop loop;
+  private final ServerFinder finder;
+  private final PendingQueue<RequestPlacement> pendingQueue;
+  private final Mechanisms mechanisms;
+  private final Route route;
+  private final String service;
+  private final RequestTimes times;
+  private final RequestReport report;
+  private final Owner owner;
+  private final Set<String> attemptedServerIds = new HashSet<>();
+  private int searchCount;
+  private boolean firstSearchDone;
+  private boolean queued;
+  private Timeliness queuedTimeliness = Timeliness.IN_TIME;
+
+  RequestPlacement(
+      Loop loop,
+      ServerFinder finder,
+      PendingQueue<RequestPlacement> pendingQueue,
+      Mechanisms mechanisms,
+      Route route,
+      String service,
+      RequestTimes times,
+      RequestReport report,
+      Owner owner) {
+    this.loop = loop;
+    this.finder = finder;
+    this.pendingQueue = pendingQueue;
+    this.mechanisms = mechanisms;
+    this.route = route;
+    this.service = service;
+    this.times = times;
+    this.report = report;
+    this.owner = owner;
+  }
+
+  /** Ids of the servers to which the request was sent. */
+  Collection<String> attemptedServerIds() {
+    return attemptedServerIds;
+  }
+
+  /** Searches for a server, and waits for one while all are busy. */
+  void place() {
+    if (!owner.awaitsAnswer()) {
+      return;
+    }
+    switch (owner.verdict()) {
+      case ALLOWED, TRIAL -> search(this::handleResult);
+      case WAIT -> loop.afterMillis(SEARCH_INTERVAL_MILLIS, this::place);
+      case REFUSED -> owner.refuseCrashing();
+    }
+  }
+
+  /** Searches once for a further server; does nothing if there is none. */
+  void findFurther(Consumer<ServerState> action) {
+    search(
+        result -> {
+          if (result instanceof ServerFinder.Result.Chosen chosen) {
+            action.accept(chosen.server());
+          }
+        });
+  }
+
+  /** Sends the request to a server; the results of pending searches are ignored. */
+  void sendTo(ServerState server) {
+    leaveQueue();
+    searchCount++;
+    attemptedServerIds.add(server.entry().id());
+    owner.startAttempt(server);
+  }
+
+  /** Removes the request from the queue if it is queued. */
+  void leaveQueue() {
+    if (queued) {
+      queued = false;
+      pendingQueue.remove(service, this);
+    }
+  }
+
+  /**
+   * Offers free capacity, reported by an answer of the server, to the first request in the queue.
+   */
+  void offerCapacity(ServerState server) {
+    Optional<RequestPlacement> first = pendingQueue.first(service);
+    if (first.isPresent() && finder.isSuitable(server, first.get().query())) {
+      // Deferred, so that the connection that brought the answer is back in its pool.
+      loop.execute(() -> first.get().acceptOffer(server));
+    }
+  }
+
+  /** Accepts offered capacity, unless the request has been sent elsewhere since. */
+  void acceptOffer(ServerState server) {
+    if (queued && !attemptedServerIds.contains(server.entry().id()) && server.acceptsWork()) {
+      sendTo(server);
+    }
+  }
+
+  private void search(Consumer<ServerFinder.Result> action) {
+    searchCount++;
+    int searchNumber = searchCount;
+    finder.search(
+        query(),
+        attemptedServerIds,
+        result -> {
+          // While a search waits for health checks, an answer may have offered capacity and the
+          // request
+          // was sent there; a second attempt would execute it twice.
+          if (owner.awaitsAnswer() && searchNumber == searchCount) {
+            action.accept(result);
+          }
+        });
+  }
+
+  private ServerQuery query() {
+    Timeliness timeliness = times.timeliness();
+    long allowed =
+        timeliness == Timeliness.IN_TIME ? times.objectiveRemainingNanos() : times.remainingNanos();
+    return new ServerQuery(route, service, timeliness, allowed);
+  }
+
+  private void handleResult(ServerFinder.Result result) {
+    if (!firstSearchDone) {
+      firstSearchDone = true;
+      finder.recordFirstSearch(
+          service, times.timeliness(), result instanceof ServerFinder.Result.Chosen);
+    }
+    switch (result) {
+      case ServerFinder.Result.Chosen chosen -> sendTo(chosen.server());
+      case ServerFinder.Result.Full full -> waitForCapacity(full.waitNanos());
+      case ServerFinder.Result.None none -> owner.giveUp("no_server", RetryAfter.Cause.BUSY);
+    }
+  }
+
+  private void waitForCapacity(long minWaitNanos) {
+    double limit =
+        WaitLimit.nanos(
+            times.timeliness(),
+            times.usualLatencyNanos(),
+            route.objectiveNanos(),
+            times.callerTimeoutNanos());
+    if (times.waitedNanos() + minWaitNanos > limit || !mechanisms.on(Mechanism.WAITING)) {
+      owner.giveUp("no_room", RetryAfter.Cause.BUSY);
+      return;
+    }
+    if (!queued) {
+      queued = true;
+      queuedTimeliness = times.timeliness();
+      pendingQueue.add(service, this);
+      report.requestQueued(service, times, limit, pendingQueue.size(service));
+    }
+    int searchNumber = searchCount;
+    loop.afterMillis(SEARCH_INTERVAL_MILLIS, () -> searchAgain(searchNumber));
+  }
+
+  private void searchAgain(int searchNumber) {
+    if (queued && searchNumber == searchCount) {
+      place();
+    }
+  }
+
+  @Override
+  public Timeliness queuedTimeliness() {
+    return queuedTimeliness;
+  }
+
+  @Override
+  public int priority() {
+    return route.priority();
+  }
+
+  @Override
+  public long objectiveEndNanos() {
+    return times.objectiveEndNanos();
+  }
+}
--- a/front/src/main/java/org/magnoliaswitch/front/request/RequestReport.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RequestReport.java
@@ -7,12 +7,12 @@
 import org.magnoliaswitch.front.process.Environment;
 import org.magnoliaswitch.front.process.EventLog;
 
-/** Writes the log lines of one request and counts its ends. */
+/** Writes the log lines and counts the metrics of one request. */
 final class RequestReport {
-  /** Outcome of a request that got the answer of a server that ran it. */
+  /** Outcome of a request that a server executed and answered. */
   static final String ANSWERED = "answered";
 
-  /** Outcome of a request whose server ran it and failed. */
+  /** Outcome of a request that a server executed and answered with a failure. */
   static final String SERVER_FAILED = "server_failed";
 
   private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
@@ -25,13 +25,13 @@
     this.requestId = requestId;
   }
 
-  /** The id that the caller gave its request; empty if it gave none. */
+  /** The id that the caller set on its request; empty if it set none. */
   String requestId() {
     return requestId;
   }
 
-  /** A send that brought no answer. */
-  void attempt(String event, String service, String server, String key, String cause) {
+  /** Reports an attempt that brought no answer. */
+  void attemptFailed(String event, String service, String server, String key, String cause) {
     environment.metrics().count("attempts", service, event);
     environment
         .log()
@@ -44,10 +44,11 @@
   }
 
   /**
-   * A send whose connection ended before an answer. The line tells what the request is: its id is
-   * new with each try, so it cannot show that one request was under the ends of many servers.
+   * Reports an attempt whose connection broke before an answer. The line contains the identity of
+   * the request: its id changes with each retry of the caller, so the id cannot show that one
+   * request was present in the crashes of many servers.
    */
-  void broken(String service, String server, String reason, RequestIdentity identity) {
+  void attemptBroken(String service, String server, String reason, RequestIdentity identity) {
     environment.metrics().count("attempts", service, "broken");
     environment
         .log()
@@ -60,8 +61,8 @@
         .write();
   }
 
-  /** No server has room for the request, so it waits for some. */
-  void waits(String service, RequestTimes times, double limitNanos, int inLine) {
+  /** Reports that no server has capacity for the request, so that it waits. */
+  void requestQueued(String service, RequestTimes times, double limitNanos, int queueLength) {
     environment
         .log()
         .routine("wait")
@@ -70,14 +71,14 @@
         .add("servers", environment.servers().of(service).size())
         .addDecimal("mean_held", environment.routeState().load(service).meanHeld())
         .add("chance", times.timeliness().name().toLowerCase(Locale.ROOT))
-        .add("in_line", inLine)
+        .add("in_line", queueLength)
         .add("limit_ms", (long) limitNanos / NANOS_PER_MILLI)
-        .add("left_ms", millis(times.leftNanos()))
+        .add("left_ms", millis(times.remainingNanos()))
         .write();
   }
 
-  /** The answer of a server is later than usual. */
-  void overdue(String service, String server, double usualNanos) {
+  /** Reports an answer that is later than usual. */
+  void attemptOverdue(String service, String server, double usualLatencyNanos) {
     environment.metrics().count("attempts", service, "overdue");
     environment
         .log()
@@ -85,12 +86,12 @@
         .add("request", requestId)
         .add("service", service)
         .add("server", server)
-        .add("usual_ms", (long) usualNanos / NANOS_PER_MILLI)
+        .add("usual_ms", (long) usualLatencyNanos / NANOS_PER_MILLI)
         .write();
   }
 
-  /** A further send would have been useful but is not allowed. */
-  void notRepeated(String service, String reason, long leftNanos) {
+  /** Reports that a further attempt would have been useful but is not allowed. */
+  void furtherAttemptDenied(String service, String reason, long remainingNanos) {
     environment.metrics().count("attempts", service, reason);
     environment
         .log()
@@ -98,17 +99,17 @@
         .add("request", requestId)
         .add("service", service)
         .add("reason", reason)
-        .add("left_ms", millis(leftNanos))
+        .add("left_ms", millis(remainingNanos))
         .write();
   }
 
   /**
-   * The request is refused, and has not run.
+   * Reports that the request is refused and was not executed.
    *
    * @param waitedNanos time since it was read
-   * @param retryAfterNanos time after which the caller may come back
+   * @param retryAfterNanos time after which the caller may retry
    */
-  void refused(String service, String reason, long waitedNanos, long retryAfterNanos) {
+  void requestRefused(String service, String reason, long waitedNanos, long retryAfterNanos) {
     environment
         .log()
         .trouble("refused")
@@ -125,23 +126,24 @@
   }
 
   /**
-   * The end of the request.
+   * Reports the end of the request.
    *
-   * @param outcome one word for what became of it
-   * @param status status that the caller got; 0 when it had left
-   * @param servers ids of the servers that it was sent to
+   * @param outcome the outcome, a single word
+   * @param status status that the caller received; 0 if it had left
+   * @param attempts number of attempts
+   * @param servers ids of the servers to which it was sent
    * @param tookNanos time since its last byte was read
-   * @param objectiveLeftNanos time until its answer would be late; negative when it is
+   * @param objectiveRemainingNanos time until its answer would be late; negative once it is
    */
-  void end(
+  void requestEnded(
       String route,
       String service,
       String outcome,
       int status,
-      int sends,
+      int attempts,
       Collection<String> servers,
       long tookNanos,
-      long objectiveLeftNanos) {
+      long objectiveRemainingNanos) {
     environment.metrics().count("requests", service, outcome);
     EventLog log = environment.log();
     EventLog.Line line = outcome.equals(ANSWERED) ? log.routine("end") : log.trouble("end");
@@ -150,10 +152,10 @@
         .add("service", service)
         .add("outcome", outcome)
         .add("status", status)
-        .add("sends", sends)
+        .add("sends", attempts)
         .add("servers", String.join("/", servers))
         .add("took_ms", millis(tookNanos))
-        .add("objective_left_ms", millis(objectiveLeftNanos))
+        .add("objective_left_ms", millis(objectiveRemainingNanos))
         .add("version", environment.routes().get().version())
         .write();
   }
--- a/front/src/main/java/org/magnoliaswitch/front/request/RequestTimes.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RequestTimes.java
@@ -7,12 +7,12 @@
 import org.magnoliaswitch.front.process.Environment;
 import org.magnoliaswitch.front.version.Route;
 
-/** How much time a request has, counted from its caller's first try. */
+/** Computes the time that a request has left, counted from when its caller first sent it. */
 final class RequestTimes {
   private final Environment environment;
   private final Route route;
   private final long readNanos;
-  private final long patienceNanos;
+  private final long callerTimeoutNanos;
   private final OptionalLong spentNanos;
   private final boolean usedConnection;
 
@@ -21,14 +21,14 @@
     this.route = route;
     this.readNanos = request.readNanos();
     this.usedConnection = request.usedConnection();
-    this.patienceNanos = CallerWait.nanos(route, request, environment.names());
+    this.callerTimeoutNanos = CallerTimeout.timeoutNanos(route, request, environment.names());
     this.spentNanos =
-        CallerWait.spentNanos(route, request, environment.names(), environment.routeState());
+        CallerTimeout.spentNanos(route, request, environment.names(), environment.routeState());
   }
 
-  /** Time that the caller still waits. */
-  long leftNanos() {
-    return readNanos + patienceNanos - environment.clocks().nanos();
+  /** Time for which the caller still waits. */
+  long remainingNanos() {
+    return readNanos + callerTimeoutNanos - environment.clocks().nanos();
   }
 
   /** Time since the request was read. */
@@ -36,9 +36,9 @@
     return environment.clocks().nanos() - readNanos;
   }
 
-  /** Time that the caller waited for when the request was read. */
-  long patienceNanos() {
-    return patienceNanos;
+  /** Time for which the caller was going to wait when the request was read. */
+  long callerTimeoutNanos() {
+    return callerTimeoutNanos;
   }
 
   /** When an answer loses most of its value. */
@@ -47,22 +47,22 @@
   }
 
   /** Time until an answer loses most of its value; negative afterwards. */
-  long objectiveLeftNanos() {
+  long objectiveRemainingNanos() {
     return objectiveEndNanos() - environment.clocks().nanos();
   }
 
-  /** Usual latency of such a request. */
-  double usualNanos() {
+  /** Usual latency of requests of this route. */
+  double usualLatencyNanos() {
     return environment.routeState().baseline(route).nanos();
   }
 
-  /** What the caller can still do if the request is refused now. */
+  /** Whether the caller can still be served by retrying if the request is refused now. */
   Fallback fallback() {
-    return Fallback.of(usedConnection, spentNanos, leftNanos(), usualNanos());
+    return Fallback.of(usedConnection, spentNanos, remainingNanos(), usualLatencyNanos());
   }
 
   /** Whether the request can still be answered within its objective. */
   Timeliness timeliness() {
-    return objectiveLeftNanos() < usualNanos() ? Timeliness.LATE : Timeliness.IN_TIME;
+    return objectiveRemainingNanos() < usualLatencyNanos() ? Timeliness.LATE : Timeliness.IN_TIME;
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/request/RoutedExchange.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RoutedExchange.java
@@ -24,38 +24,40 @@
 /**
  * One request of a caller whose route is known, until its final answer.
  *
- * <p>A request that may run only once is sent a second time only when the first server said that it
- * has not run it, or when nothing of it was written. After any other trouble its outcome is
- * unknown, and the answer says so: 502 or 504, never 503.
+ * <p>A further attempt of a non-idempotent request is made only if the first server stated that it
+ * did not execute the request, or if nothing of it was written. After any other failure the request
+ * may have been executed, and the answer says so: 502 or 504, never 503.
  */
-final class RoutedExchange implements Placing.Owner {
-  /** Servers tried in vain, without a byte written, before the request is refused. */
+final class RoutedExchange implements RequestPlacement.Owner {
+  /**
+   * Number of attempts that failed before a byte was written, from which the request is refused.
+   */
   private static final int MAX_UNREACHABLE = 3;
 
-  /** Why a request under which servers end gets no send. */
-  static final String ENDS_SERVERS = "ends_servers";
+  /** Reason for denying attempts of a request that crashes servers. */
+  static final String CRASHES_SERVERS = "ends_servers";
 
   private final Environment environment;
   private final CallerRequest request;
   private final Route route;
   private final Consumer<CallerAnswer> answer;
   private final RequestReport report;
-  private final CrashGuard guard;
+  private final CrashDetector crashDetector;
   private final RequestTimes times;
   private final String service;
-  private final FurtherSends sends;
-  private final Placing placing;
-  private final Optional<Hedge> hedge;
+  private final FurtherAttempts attempts;
+  private final RequestPlacement placement;
+  private final Optional<HedgeSearch> hedgeSearch;
   private final Loop.Timer timer;
-  private final List<Attempt> open = new ArrayList<>();
-  private final RequestFate fate = new RequestFate();
-  private int unreachable;
+  private final List<Attempt> openAttempts = new ArrayList<>();
+  private final ExecutionState executionState = new ExecutionState();
+  private int unreachableAttempts;
   private boolean done;
 
   RoutedExchange(
       Environment environment,
       ServerFinder finder,
-      PendingQueue<Placing> pending,
+      PendingQueue<RequestPlacement> pendingQueue,
       CallerRequest request,
       Route route,
       RequestReport report,
@@ -65,224 +67,235 @@
     this.route = route;
     this.answer = answer;
     this.report = report;
-    this.guard = new CrashGuard(environment, request);
+    this.crashDetector = new CrashDetector(environment, request);
     this.times = new RequestTimes(environment, route, request);
     this.service = environment.routeState().pick(route);
-    this.sends = new FurtherSends(environment, route, service, times, report, guard.crashes());
-    this.placing =
-        new Placing(
+    this.attempts =
+        new FurtherAttempts(environment, route, service, times, report, crashDetector.crashes());
+    this.placement =
+        new RequestPlacement(
             environment.loop(),
             finder,
-            pending,
+            pendingQueue,
             environment.settings().mechanisms(),
             route,
             service,
             times,
             report,
             this);
-    this.hedge = hedge();
-    this.timer = environment.loop().after(times.leftNanos(), this::timedOut);
+    this.hedgeSearch = hedgeSearch();
+    this.timer = environment.loop().after(times.remainingNanos(), this::timedOut);
   }
 
-  private Optional<Hedge> hedge() {
+  private Optional<HedgeSearch> hedgeSearch() {
     boolean allowed = environment.settings().mechanisms().on(Mechanism.HEDGING);
     return allowed && route.idempotent()
-        ? Optional.of(new Hedge(this, environment.loop(), placing, times))
+        ? Optional.of(new HedgeSearch(this, environment.loop(), placement, times))
         : Optional.empty();
   }
 
-  /** Looks for a server. */
+  /** Starts the search for a server. */
   void start() {
     environment.routeState().budget(service).request(environment.clocks().nanos());
-    placing.place();
+    placement.place();
   }
 
-  /** Nobody waits for the answer any more. */
+  /** Called when the caller has left, so that nobody waits for the answer any more. */
   void callerLeft() {
     if (done) {
       return;
     }
     done = true;
-    placing.leaveQueue();
+    placement.leaveQueue();
     timer.cancel();
-    // Work nobody waits for is cancelled only where a half-done run does no harm.
+    // Cancelled only if idempotent, since a partial execution of other requests may do harm.
     if (route.idempotent()) {
-      open.forEach(Attempt::abandon);
+      openAttempts.forEach(Attempt::cancel);
     }
     reportEnd("caller_left", 0);
   }
 
   @Override
-  public void send(ServerState server) {
+  public void startAttempt(ServerState server) {
     ServerPool pool = environment.servers().poolOf(server);
     Attempt attempt = new Attempt(this, environment, pool, request, report.requestId());
-    open.add(attempt);
+    openAttempts.add(attempt);
     attempt.start(route.idempotent());
-    double usual = times.usualNanos();
-    long delay = HedgeDelay.nanos(usual, times.objectiveLeftNanos());
-    environment.loop().after(delay, () -> overdue(attempt, usual));
+    double usualLatencyNanos = times.usualLatencyNanos();
+    long delay = HedgeDelay.nanos(usualLatencyNanos, times.objectiveRemainingNanos());
+    environment.loop().after(delay, () -> overdue(attempt, usualLatencyNanos));
   }
 
-  /** An answer is late: the server is marked, and an idempotent request tries a second one. */
-  private void overdue(Attempt attempt, double usual) {
-    if (done || !open.contains(attempt) || !attempt.written()) {
+  /**
+   * Handles an answer that is late: records it for the server, and starts the search for a second
+   * server if the request is idempotent.
+   */
+  private void overdue(Attempt attempt, double usualLatencyNanos) {
+    if (done || !openAttempts.contains(attempt) || !attempt.written()) {
       return;
     }
-    attempt.overdue(usual);
-    report.overdue(service, attempt.serverId(), usual);
-    hedge.ifPresent(present -> present.seek(attempt));
+    attempt.markOverdue(usualLatencyNanos);
+    report.attemptOverdue(service, attempt.serverId(), usualLatencyNanos);
+    hedgeSearch.ifPresent(present -> present.search(attempt));
   }
 
-  /** Whether one send is under way and nothing else can bring an answer. */
+  /** Whether the attempt is the only open one, so that nothing else can bring an answer. */
   boolean waitsOnlyFor(Attempt attempt) {
-    return !done && open.size() == 1 && open.contains(attempt);
+    return !done && openAttempts.size() == 1 && openAttempts.contains(attempt);
   }
 
-  /** Time that the caller still waits. */
-  long leftNanos() {
-    return times.leftNanos();
+  /** Time for which the caller still waits. */
+  long remainingNanos() {
+    return times.remainingNanos();
   }
 
   @Override
-  public boolean waiting() {
+  public boolean awaitsAnswer() {
     return !done;
   }
 
-  /** What is known of servers that ended under the request. */
-  CrashGuard guard() {
-    return guard;
+  /** Detects servers that crash while serving the request. */
+  CrashDetector crashDetector() {
+    return crashDetector;
   }
 
   /**
-   * The request was to be written when it became known that servers end under it, or that its
-   * server bears no more while it is cold.
+   * Handles an attempt that was not written: the request became known to crash servers, or its
+   * server takes no more requests while it is cold.
    */
-  void heldBack(Attempt attempt) {
-    open.remove(attempt);
-    if (!othersOpen()) {
-      placing.place();
+  void notAdmitted(Attempt attempt) {
+    openAttempts.remove(attempt);
+    if (!doneOrOthersOpen()) {
+      placement.place();
     }
   }
 
   /**
-   * Something new is known of requests under which servers end. If this is one of them, its sends
-   * are cancelled: a server drops work whose connection closes, and so is spared. What may run only
-   * once is left to end, since half of a run may do harm.
+   * Reacts to a change in what is known of requests that crash servers. If this is one of them, its
+   * attempts are cancelled: a server drops work whose connection closes, and so does not crash.
+   * Non-idempotent requests may complete, since a partial execution may do harm.
    */
   void crashesChanged() {
-    boolean trial = open.stream().anyMatch(Attempt::warned);
-    if (done || !guard.crashes().stopsSends(trial)) {
+    boolean trial = openAttempts.stream().anyMatch(Attempt::trial);
+    if (done || !crashDetector.crashes().stopsSends(trial)) {
       return;
     }
-    if (open.isEmpty()) {
-      if (guard.crashes().verdict() == Verdict.REFUSED) {
-        turnAway();
+    if (openAttempts.isEmpty()) {
+      if (crashDetector.crashes().verdict() == Verdict.REFUSED) {
+        refuseCrashing();
       }
     } else if (route.idempotent()) {
-      if (open.stream().anyMatch(Attempt::written)) {
-        fate.perhapsRun();
+      if (openAttempts.stream().anyMatch(Attempt::written)) {
+        executionState.attemptBroken();
       }
-      open.forEach(Attempt::abandon);
-      open.clear();
-      turnAway();
+      openAttempts.forEach(Attempt::cancel);
+      openAttempts.clear();
+      refuseCrashing();
     }
   }
 
   @Override
   public Verdict verdict() {
-    return guard.crashes().verdict();
+    return crashDetector.crashes().verdict();
   }
 
-  /** Servers end under the request, so it goes to none; at once, since waiting would not help. */
+  /**
+   * Refuses the request because it crashes servers; without delay, since waiting would not help.
+   */
   @Override
-  public void turnAway() {
-    giveUp(ENDS_SERVERS, guard.crashes()::retryAfterNanos);
+  public void refuseCrashing() {
+    giveUp(CRASHES_SERVERS, crashDetector.crashes()::retryAfterNanos);
   }
 
   void unreachable(Attempt attempt, String reason) {
-    open.remove(attempt);
-    unreachable++;
-    report.attempt("unreachable", service, attempt.serverId(), "reason", reason);
-    if (othersOpen()) {
+    openAttempts.remove(attempt);
+    unreachableAttempts++;
+    report.attemptFailed("unreachable", service, attempt.serverId(), "reason", reason);
+    if (doneOrOthersOpen()) {
       return;
     }
-    if (unreachable >= MAX_UNREACHABLE) {
+    if (unreachableAttempts >= MAX_UNREACHABLE) {
       giveUp("unreachable", RetryAfter.Cause.REJECTED);
     } else {
-      placing.place();
+      placement.place();
     }
   }
 
   void rejected(Attempt attempt, int status) {
-    open.remove(attempt);
-    report.attempt("rejected", service, attempt.serverId(), "status", String.valueOf(status));
-    if (othersOpen()) {
+    openAttempts.remove(attempt);
+    report.attemptFailed("rejected", service, attempt.serverId(), "status", String.valueOf(status));
+    if (doneOrOthersOpen()) {
       return;
     }
-    if (sends.mayFollowRejection()) {
-      placing.place();
+    if (attempts.mayRetryAfterRejection()) {
+      placement.place();
     } else {
       giveUp("rejected", RetryAfter.Cause.REJECTED);
     }
   }
 
   void broken(Attempt attempt, String reason) {
-    open.remove(attempt);
-    fate.perhapsRun();
-    report.broken(service, attempt.serverId(), reason, guard.crashes().identities().content());
-    if (othersOpen()) {
+    openAttempts.remove(attempt);
+    executionState.attemptBroken();
+    report.attemptBroken(
+        service, attempt.serverId(), reason, crashDetector.crashes().identities().content());
+    if (doneOrOthersOpen()) {
       return;
     }
-    if (route.idempotent() && sends.mayFollow()) {
-      placing.place();
+    if (route.idempotent() && attempts.mayRetry()) {
+      placement.place();
     } else {
       giveUp("broken", RetryAfter.Cause.REJECTED);
     }
   }
 
-  void answered(Attempt attempt, ServerReply.Whole whole) {
-    open.remove(attempt);
+  void answered(Attempt attempt, ServerReply.Whole serverAnswer) {
+    openAttempts.remove(attempt);
     if (done) {
       return;
     }
-    boolean failed = whole.status().code() >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
-    CallerAnswer result = Answers.passedOn(whole);
+    boolean failed =
+        serverAnswer.status().code() >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
+    CallerAnswer result = CallerAnswers.forwarded(serverAnswer);
     if (failed) {
-      fate.serverFailed(result);
+      executionState.serverFailed(result);
     }
-    if (failed && !open.isEmpty()) {
+    if (failed && !openAttempts.isEmpty()) {
       return;
     }
-    open.forEach(Attempt::outrun);
-    if (failed && route.idempotent() && leftNanos() > 0 && sends.mayFollow()) {
-      placing.place();
+    openAttempts.forEach(Attempt::superseded);
+    if (failed && route.idempotent() && remainingNanos() > 0 && attempts.mayRetry()) {
+      placement.place();
       return;
     }
     finish(result, failed ? RequestReport.SERVER_FAILED : RequestReport.ANSWERED);
   }
 
   /**
-   * Compares a whole answer's latency with what was expected of the server.
+   * Records the latency of an answer, compared with what was expected of the server.
    *
-   * @param slowness how slow the server was when the request was sent; how slow it is when the
-   *     answer leaves says nothing, and taken for it the usual latency would come out too short
+   * @param slowness slowness of the server when the request was sent; with its slowness at the time
+   *     of the answer, the usual latency would be estimated too short
    */
-  void learnLatency(long tookNanos, double slowness, ServerState server) {
+  void recordLatency(long tookNanos, double slowness, ServerState server) {
     LatencyBaseline baseline = environment.routeState().baseline(route);
-    placing.offerRoom(server);
+    placement.offerCapacity(server);
     environment.metrics().latency(service, tookNanos);
     environment.servers().succeeded(server, tookNanos / (baseline.nanos() * slowness));
     baseline.learn(tookNanos / slowness);
   }
 
-  /** Whether the end of an attempt changes nothing: the caller is served, or another may answer. */
-  private boolean othersOpen() {
-    return done || !open.isEmpty();
+  /**
+   * Whether the end of an attempt has no effect: the request is done, or another attempt may bring
+   * an answer.
+   */
+  private boolean doneOrOthersOpen() {
+    return done || !openAttempts.isEmpty();
   }
 
-  /** How often the request was sent, and whether it may be sent again. */
-  FurtherSends sends() {
-    return sends;
+  /** Counts the attempts of the request, and decides whether a further one is allowed. */
+  FurtherAttempts attempts() {
+    return attempts;
   }
 
   @Override
@@ -291,34 +304,39 @@
   }
 
   private void giveUp(String reason, LongSupplier retryAfterNanos) {
-    fate.end(HttpResponseStatus.BAD_GATEWAY, reason, false)
+    executionState
+        .finalAnswer(HttpResponseStatus.BAD_GATEWAY, reason, false)
         .ifPresentOrElse(
-            end -> finish(end.answer(), end.outcome()),
+            finalAnswer -> finish(finalAnswer.answer(), finalAnswer.outcome()),
             () -> refuse(reason, retryAfterNanos.getAsLong()));
   }
 
-  private void refuse(String reason, long retryAfter) {
-    long waited = environment.clocks().nanos() - request.readNanos();
-    report.refused(service, reason, waited, retryAfter);
-    finish(Answers.notRun(reason, retryAfter), reason);
+  private void refuse(String reason, long retryAfterNanos) {
+    long waitedNanos = environment.clocks().nanos() - request.readNanos();
+    report.requestRefused(service, reason, waitedNanos, retryAfterNanos);
+    finish(CallerAnswers.notExecuted(reason, retryAfterNanos), reason);
   }
 
   private long retryAfterNanos(RetryAfter.Cause cause) {
     return RetryAfter.nanos(
-        cause, times.usualNanos(), environment.random(), environment.settings().mechanisms());
+        cause,
+        times.usualLatencyNanos(),
+        environment.random(),
+        environment.settings().mechanisms());
   }
 
   private void timedOut() {
     if (done) {
       return;
     }
-    boolean written = open.stream().anyMatch(Attempt::written);
-    List<Attempt> cancelled = List.copyOf(open);
-    fate.end(HttpResponseStatus.GATEWAY_TIMEOUT, "timeout", written)
+    boolean written = openAttempts.stream().anyMatch(Attempt::written);
+    List<Attempt> cancelled = List.copyOf(openAttempts);
+    executionState
+        .finalAnswer(HttpResponseStatus.GATEWAY_TIMEOUT, "timeout", written)
         .ifPresentOrElse(
-            end -> finish(end.answer(), end.outcome()),
+            finalAnswer -> finish(finalAnswer.answer(), finalAnswer.outcome()),
             () -> refuse("timeout_before_send", retryAfterNanos(RetryAfter.Cause.BUSY)));
-    cancelled.forEach(attempt -> attempt.timedOut(route.idempotent()));
+    cancelled.forEach(attempt -> attempt.callerTimedOut(route.idempotent()));
   }
 
   private void finish(CallerAnswer result, String outcome) {
@@ -326,22 +344,22 @@
       return;
     }
     done = true;
-    placing.leaveQueue();
+    placement.leaveQueue();
     timer.cancel();
     reportEnd(outcome, result.status().code());
     answer.accept(result);
   }
 
   private void reportEnd(String outcome, int status) {
-    long took = environment.clocks().nanos() - request.readNanos();
-    report.end(
+    long tookNanos = environment.clocks().nanos() - request.readNanos();
+    report.requestEnded(
         route.name(),
         service,
         outcome,
         status,
-        sends.count(),
-        placing.tried(),
-        took,
-        times.objectiveLeftNanos());
+        attempts.count(),
+        placement.attemptedServerIds(),
+        tookNanos,
+        times.objectiveRemainingNanos());
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/request/ServerFinder.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/ServerFinder.java
@@ -7,15 +7,15 @@
 
 /** Finds the server for a request. */
 interface ServerFinder {
-  /** What a search found. */
+  /** The result of a search. */
   sealed interface Result {
-    /** A server with room. */
+    /** A server with free capacity. */
     record Chosen(ServerState server) implements Result {}
 
     /**
-     * There are servers, and none of them takes a request now.
+     * There are servers, but none of them accepts a request now.
      *
-     * @param waitNanos least time until one may; 0 if that depends on answers of busy ones
+     * @param waitNanos least time until one may; 0 if that depends on the answers of busy servers
      */
     record Full(long waitNanos) implements Result {}
 
@@ -24,15 +24,15 @@
   }
 
   /**
-   * Looks for a server; the result may come at once or a few milliseconds later.
+   * Searches for a server; the result may be passed at once or a few milliseconds later.
    *
-   * @param excluded ids of servers that the request was sent to before
+   * @param excluded ids of servers to which the request was sent before
    */
   void search(ServerQuery query, Set<String> excluded, Consumer<Result> found);
 
-  /** Notes whether a request found room at its first search. */
-  void sought(String service, Timeliness timeliness, boolean found);
+  /** Records whether a request found free capacity at its first search. */
+  void recordFirstSearch(String service, Timeliness timeliness, boolean found);
 
   /** Whether a server should get the request now. */
-  boolean suits(ServerState server, ServerQuery query);
+  boolean isSuitable(ServerState server, ServerQuery query);
 }
--- a/front/src/main/java/org/magnoliaswitch/front/request/ServerSearch.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/ServerSearch.java
@@ -16,25 +16,25 @@
 import org.magnoliaswitch.front.process.Environment;
 import org.magnoliaswitch.front.version.ServicePolicy;
 
-/** Finds the server for a request, asking the best candidates for their load when news are old. */
+/** Finds the server for a request, probing the best candidates if their load samples are old. */
 final class ServerSearch implements ServerFinder {
-  /** Servers of unknown warmth that are asked beside one search. */
-  private static final int UNKNOWN_ASKED = 2;
+  /** Servers of unknown warm-up state that are probed beside one search. */
+  private static final int MAX_UNKNOWN_PROBED = 2;
 
   private final Environment environment;
-  private final Probes probes;
+  private final LoadProber prober;
 
-  ServerSearch(Environment environment, Probes probes) {
+  ServerSearch(Environment environment, LoadProber prober) {
     this.environment = environment;
-    this.probes = probes;
+    this.prober = prober;
   }
 
   @Override
   public void search(ServerQuery query, Set<String> excluded, Consumer<Result> found) {
-    new Search(query, excluded, found).look(0);
+    new Search(query, excluded, found).runRound(0);
   }
 
-  /** One search: it asks servers in rounds until the best one is known well enough. */
+  /** One search: it probes servers in rounds until the best server is known well enough. */
   private final class Search {
     private final ServerQuery query;
     private final Set<String> excluded;
@@ -46,42 +46,43 @@
       this.found = found;
     }
 
-    void look(int round) {
+    void runRound(int round) {
       Optional<ServicePolicy> policy = environment.routes().get().service(query.service());
       if (round == 0 && policy.isPresent()) {
-        askUnknown(query, policy.get());
+        probeUnknown(query, policy.get());
       }
       List<Ranked> ranked = rank(query, excluded);
-      boolean askable = policy.isPresent();
-      Selection.Step step = Selection.next(ranked, context(query), round, askable);
+      boolean probeable = policy.isPresent();
+      Selection.Step step = Selection.next(ranked, context(query), round, probeable);
       if (step instanceof Selection.Step.Ask ask && policy.isPresent()) {
-        ask(ask.servers(), policy.get(), round + 1);
+        probe(ask.servers(), policy.get(), round + 1);
       } else if (step instanceof Selection.Step.None) {
-        found.accept(heldBack(query, excluded));
+        found.accept(resultIfNoneAllowed(query, excluded));
       } else {
         found.accept(result(step));
       }
     }
 
-    private void ask(List<ServerState> servers, ServicePolicy policy, int next) {
+    private void probe(List<ServerState> servers, ServicePolicy policy, int nextRound) {
       List<ServerPool> pools = servers.stream().map(environment.servers()::poolOf).toList();
-      probes.ask(pools, policy.healthPath(), () -> look(next));
+      prober.probe(pools, policy.healthPath(), () -> runRound(nextRound));
     }
   }
 
   /**
-   * Asks servers that only count as cold for what they are, beside the search. A data centre that
-   * was taken back warm would else stand idle for the whole warm-up.
+   * Probes servers that count as cold but have not stated their warm-up, beside the search.
+   * Otherwise the servers of a data centre that is warm when its evacuation ends would stay idle
+   * for the whole warm-up.
    */
-  private void askUnknown(ServerQuery query, ServicePolicy policy) {
+  private void probeUnknown(ServerQuery query, ServicePolicy policy) {
     long now = environment.clocks().nanos();
     List<ServerPool> unknown =
         environment.servers().of(query.service()).stream()
-            .filter(pool -> mayGet(pool.state(), query) && pool.state().coldnessUnknown(now))
-            .limit(UNKNOWN_ASKED)
+            .filter(pool -> isEligible(pool.state(), query) && pool.state().coldnessUnknown(now))
+            .limit(MAX_UNKNOWN_PROBED)
             .toList();
     if (!unknown.isEmpty()) {
-      probes.ask(unknown, policy.healthPath(), () -> {});
+      prober.probe(unknown, policy.healthPath(), () -> {});
     }
   }
 
@@ -95,16 +96,16 @@
   }
 
   @Override
-  public void sought(String service, Timeliness timeliness, boolean found) {
+  public void recordFirstSearch(String service, Timeliness timeliness, boolean found) {
     if (timeliness == Timeliness.IN_TIME) {
       environment.routeState().load(service).sought(found);
     }
   }
 
   @Override
-  public boolean suits(ServerState server, ServerQuery query) {
+  public boolean isSuitable(ServerState server, ServerQuery query) {
     PlacementContext context = context(query);
-    return mayGet(server, query)
+    return isEligible(server, query)
         && environment.quotas().allowed(server)
         && Placement.fits(server, context)
         && (AdmissionLimit.hasRoom(server, context) || AdmissionLimit.mayFill(server, context));
@@ -114,27 +115,30 @@
     List<ServerState> eligible = new ArrayList<>();
     for (ServerPool pool : environment.servers().of(query.service())) {
       ServerState server = pool.state();
-      boolean known = excluded.contains(server.entry().id());
-      if (!known && mayGet(server, query) && environment.quotas().allowed(server)) {
+      boolean wasExcluded = excluded.contains(server.entry().id());
+      if (!wasExcluded && isEligible(server, query) && environment.quotas().allowed(server)) {
         eligible.add(server);
       }
     }
     return Placement.rank(eligible, context(query), environment.random());
   }
 
-  /** No server may get a request now; when the first one may, as far as that can be foreseen. */
-  private Result heldBack(ServerQuery query, Set<String> excluded) {
+  /**
+   * The result if no server may get a request now: the time until the first one may, as far as it
+   * can be foreseen.
+   */
+  private Result resultIfNoneAllowed(ServerQuery query, Set<String> excluded) {
     long wait = ServerState.NEVER;
     for (ServerPool pool : environment.servers().of(query.service())) {
       ServerState server = pool.state();
-      if (!excluded.contains(server.entry().id()) && mayGet(server, query)) {
+      if (!excluded.contains(server.entry().id()) && isEligible(server, query)) {
         wait = Math.min(wait, environment.quotas().waitNanos(server));
       }
     }
     return wait == ServerState.NEVER ? new Result.None() : new Result.Full(wait);
   }
 
-  private boolean mayGet(ServerState server, ServerQuery query) {
+  private boolean isEligible(ServerState server, ServerQuery query) {
     String region = environment.settings().region(server.entry().dataCentre());
     return server.acceptsWork() && query.route().allows(region);
   }
--- a/front/src/main/java/org/magnoliaswitch/front/request/package-info.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/package-info.java
@@ -1,4 +1,4 @@
-/** What lives as long as one request of a caller. */
+/** Processing of a request of a caller, from its arrival to its final answer. */
 @NullMarked
 package org.magnoliaswitch.front.request;
 
--- a/front/src/test/java/org/magnoliaswitch/front/request/CrashingRequestTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/CrashingRequestTest.java
@@ -29,53 +29,45 @@
 import org.testng.annotations.Test;
 
 /**
- * A request under which every server ends that begins to run it, brought again and again to several
- * instances.
+ * Guards against a request that crashes every server that begins to execute it.
  *
- * <p>Nineteen servers of a read service ended within 17 s, and again when they were back, 44 ends
- * in all. Each try of the request came under a new id to another instance, took two servers, the
- * first and the one it was sent to again, and was told 502. Instances counted the ends against the
- * servers ({@code event=server_suspect}) and never against what they had run, so nothing related
- * one try to the next: {@code event=broken} named 84 tries, none with more than two servers under
- * it, in pairs at one instance like
- *
- * <pre>
- *  8.775 event=broken reason=closed
- *  8.858 event=broken reason=closed
- *  8.858 event=not_repeated reason=most_servers left_ms=860
- * </pre>
+ * <p>The caller retries at several instances, each time under a new request id, and each retry
+ * crashes two servers: that of the first attempt and that of the further one. If instances count
+ * crashes only against the servers ({@code event=server_suspect}), nothing relates one retry to the
+ * next. Nineteen servers crashed this way within 17 s and again after their restart, 44 crashes in
+ * all, while {@code event=broken} named 84 requests, none of them with more than two servers.
  */
 public final class CrashingRequestTest {
   private static final int INSTANCES = 3;
   private static final int SERVERS = 14;
-  private static final int TRIES = 12;
+  private static final int REQUESTS = 12;
   private static final long TIMEOUT_MILLIS = 10_000;
-  private static final String DEADLY = "/safe/deadly";
+  private static final String CRASHING_PATH = "/safe/crash";
 
-  /** Ends that tell a request apart from bystanders, which may meet two. */
-  private static final int ENDS_THAT_TELL = 3;
+  /** Crashes that identify a request as the cause; other requests may be present in two. */
+  private static final int CRASHES_TO_IDENTIFY = 3;
 
-  /** Further servers that the users allow such a request once three have ended. */
-  private static final int ALLOWED_AFTER = 3;
+  /** Further crashes that are allowed once three have identified the request. */
+  private static final int ALLOWED_FURTHER_CRASHES = 3;
 
-  /** Servers that end when they begin to run the deadly path. */
-  private static final class Servers implements AutoCloseable {
+  /** Servers that crash when they begin to execute the crashing path. */
+  private static final class CrashingServers implements AutoCloseable {
     private final List<ScriptedServer> all = new ArrayList<>();
-    private final AtomicInteger ended = new AtomicInteger();
+    private final AtomicInteger crashes = new AtomicInteger();
 
-    Servers(int count) throws IOException {
+    CrashingServers(int count) throws IOException {
       for (int i = 0; i < count; i++) {
-        int number = i;
-        all.add(new ScriptedServer("s" + i, request -> run(number, request)));
+        int index = i;
+        all.add(new ScriptedServer("s" + i, request -> handle(index, request)));
       }
     }
 
-    private boolean run(int number, ScriptedServer.Received request) throws IOException {
-      if (!request.line().contains("/deadly")) {
-        return request.answer(200, "well");
+    private boolean handle(int index, ScriptedServer.Received request) throws IOException {
+      if (!request.line().contains("/crash")) {
+        return request.answer(200, "ok");
       }
-      ended.incrementAndGet();
-      all.get(number).close();
+      crashes.incrementAndGet();
+      all.get(index).close();
       return false;
     }
 
@@ -88,19 +80,21 @@
   }
 
   /**
-   * The caller comes back as soon as it is told that a try failed, each time to another instance.
-   * The first tries end servers; after the third end every instance must know, and turn it away.
+   * The caller retries as soon as it receives a failure, each time at another instance. The first
+   * attempts crash servers; after the third crash every instance must know the request and refuse
+   * it.
    */
   @Test
-  public void servesNoMoreThanTheUsersAllowToItsEnd() throws IOException {
-    try (Servers servers = new Servers(SERVERS)) {
+  public void crashesNoMoreServersThanAllowed() throws IOException {
+    try (CrashingServers servers = new CrashingServers(SERVERS)) {
       ScriptedServer[] all = servers.all.toArray(new ScriptedServer[0]);
       List<RunningFront> fronts = RunningFront.group(INSTANCES, TIMEOUT_MILLIS, all);
-      for (int i = 0; i < TRIES; i++) {
-        fronts.get(i % INSTANCES).ask("GET", DEADLY, TIMEOUT_MILLIS);
+      for (int i = 0; i < REQUESTS; i++) {
+        fronts.get(i % INSTANCES).ask("GET", CRASHING_PATH, TIMEOUT_MILLIS);
       }
-      int ended = servers.ended.get();
-      assertTrue(ended <= ENDS_THAT_TELL + ALLOWED_AFTER, ended + " servers ended");
+      int crashes = servers.crashes.get();
+      assertTrue(
+          crashes <= CRASHES_TO_IDENTIFY + ALLOWED_FURTHER_CRASHES, crashes + " servers crashed");
       for (RunningFront front : fronts) {
         front.stop(() -> {});
       }
@@ -108,22 +102,23 @@
   }
 
   /**
-   * The request comes from another address each time, as one does that is passed on through several
-   * gateways. Its tries had reached instances of two data centres within 0.1 s (8.858 s in one,
-   * 8.881 s in the other), while an address belongs to one; told by its address it was a new
-   * request each time. What it asks for is the same, and that must be enough.
+   * The request comes from another address each time, as one that is forwarded by several gateways
+   * does: its retries reach instances of two data centres within 0.1 s, while an address belongs to
+   * one. Identified by its address it would count as a new request each time, so its content must
+   * be enough.
    */
   @Test
-  public void isRecognisedFromWhateverAddressItComes() throws IOException {
-    try (Servers servers = new Servers(SERVERS)) {
+  public void isRecognizedFromAnyCallerAddress() throws IOException {
+    try (CrashingServers servers = new CrashingServers(SERVERS)) {
       ScriptedServer[] all = servers.all.toArray(new ScriptedServer[0]);
       List<RunningFront> fronts = RunningFront.group(INSTANCES, TIMEOUT_MILLIS, all);
-      for (int i = 0; i < TRIES; i++) {
+      for (int i = 0; i < REQUESTS; i++) {
         String address = "127.0.0." + (10 + i);
-        fronts.get(i % INSTANCES).askFrom(address, "GET", DEADLY, TIMEOUT_MILLIS);
+        fronts.get(i % INSTANCES).askFrom(address, "GET", CRASHING_PATH, TIMEOUT_MILLIS);
       }
-      int ended = servers.ended.get();
-      assertTrue(ended <= ENDS_THAT_TELL + ALLOWED_AFTER, ended + " servers ended");
+      int crashes = servers.crashes.get();
+      assertTrue(
+          crashes <= CRASHES_TO_IDENTIFY + ALLOWED_FURTHER_CRASHES, crashes + " servers crashed");
       for (RunningFront front : fronts) {
         front.stop(() -> {});
       }
@@ -131,42 +126,45 @@
   }
 
   /**
-   * A booking under which servers end may run once a try, so each try ends one. Callers are told
-   * 502 while it may have run; once it is turned away they are told 503, and no server has it.
+   * A non-idempotent request is attempted once for each retry of its caller, so each retry crashes
+   * one server. The caller must receive 502 while the request may have been executed, and 503 once
+   * it is refused and reaches no server.
    */
   @Test
-  public void whatMayRunOnceIsToldTruthfully() throws IOException {
-    try (Servers servers = new Servers(SERVERS)) {
+  public void nonIdempotentRequestsAreReportedAsNotExecutedOnlyWhenRefused() throws IOException {
+    try (CrashingServers servers = new CrashingServers(SERVERS)) {
       ScriptedServer[] all = servers.all.toArray(new ScriptedServer[0]);
       List<RunningFront> fronts = RunningFront.group(INSTANCES, TIMEOUT_MILLIS, all);
       List<String> statuses = new ArrayList<>();
-      for (int i = 0; i < TRIES; i++) {
-        int before = servers.ended.get();
-        String answer = fronts.get(i % INSTANCES).ask("POST", "/once/deadly", TIMEOUT_MILLIS);
+      for (int i = 0; i < REQUESTS; i++) {
+        int before = servers.crashes.get();
+        String answer = fronts.get(i % INSTANCES).ask("POST", "/once/crash", TIMEOUT_MILLIS);
         String status = answer.substring("HTTP/1.1 ".length()).substring(0, 3);
         statuses.add(status);
-        assertEquals(status, servers.ended.get() > before ? "502" : "503");
+        assertEquals(status, servers.crashes.get() > before ? "502" : "503");
       }
       assertTrue(statuses.contains("503"), statuses.toString());
-      assertTrue(servers.ended.get() <= ENDS_THAT_TELL + ALLOWED_AFTER, statuses.toString());
-      assertTrue(fronts.getFirst().ask("GET", "/safe/well", TIMEOUT_MILLIS).contains("200"));
+      assertTrue(
+          servers.crashes.get() <= CRASHES_TO_IDENTIFY + ALLOWED_FURTHER_CRASHES,
+          statuses.toString());
+      assertTrue(fronts.getFirst().ask("GET", "/safe/ok", TIMEOUT_MILLIS).contains("200"));
       for (RunningFront front : fronts) {
         front.stop(() -> {});
       }
     }
   }
 
-  /** Requests that are under way when it becomes known what they do. */
-  public static final class UnderWay {
-    private static final Route READ = route(true);
-    private static final Route ONCE = route(false);
+  /** Requests in flight when it becomes known that they crash servers. */
+  public static final class InFlight {
+    private static final Route IDEMPOTENT_ROUTE = route(true);
+    private static final Route NON_IDEMPOTENT_ROUTE = route(false);
     private static final RequestIdentity IDENTITY = request(0).identity();
     private static final RequestIdentity OF_CALLER = IDENTITY.by("127.0.0.1");
-    private static final List<CrashReport> TWO_ENDS =
+    private static final List<CrashReport> TWO_CRASHES =
         List.of(
             new CrashReport.Ended(IDENTITY, "x@0", false),
             new CrashReport.Ended(IDENTITY, "y@0", false));
-    private static final List<CrashReport> TRIAL_ENDED =
+    private static final List<CrashReport> TRIAL_CRASHED =
         List.of(new CrashReport.Tried(IDENTITY, 1), new CrashReport.Ended(IDENTITY, "z@0", true));
 
     private static Route route(boolean idempotent) {
@@ -186,22 +184,22 @@
           "127.0.0.1");
     }
 
-    /** A server that holds each request until the test lets it go, and counts them. */
-    private static final class Holding {
+    /** A server that holds each request until the test releases it, and counts the requests. */
+    private static final class HoldingServer {
       private final Semaphore arrived = new Semaphore(0);
       private final CountDownLatch released = new CountDownLatch(1);
 
-      boolean run(ScriptedServer.Received request) throws IOException, InterruptedException {
+      boolean handle(ScriptedServer.Received request) throws IOException, InterruptedException {
         if (request.line().contains("/health")) {
           return request.answer(200, "");
         }
         arrived.release();
         released.await();
-        return request.answer(200, "well");
+        return request.answer(200, "ok");
       }
     }
 
-    private static CompletableFuture<CallerAnswer> ask(
+    private static CompletableFuture<CallerAnswer> dispatch(
         Environment environment, RequestHandler handler) {
       CompletableFuture<CallerAnswer> answer = new CompletableFuture<>();
       CallerRequest request = request(environment.clocks().nanos());
@@ -210,18 +208,18 @@
     }
 
     /**
-     * Many callers ask for the same when a data centre is lost, and have copies on servers that
-     * live. Those are left there: the first answer clears what all of them ask for.
+     * After the loss of a data centre, many callers send the same request, and copies of it are on
+     * running servers. They are not cancelled: the first answer clears the request for all callers.
      */
     @Test
-    public void copiesOfSeveralCallersAreLeftToClearEachOther()
-        throws IOException, InterruptedException {
-      Holding holding = new Holding();
-      try (ScriptedServer server = new ScriptedServer("a", holding::run)) {
-        Environment environment = TestEnvironment.with(READ, server);
-        CompletableFuture<CallerAnswer> answer = ask(environment, new FrontDispatcher(environment));
+    public void copiesOfSeveralCallersMayComplete() throws IOException, InterruptedException {
+      HoldingServer holding = new HoldingServer();
+      try (ScriptedServer server = new ScriptedServer("a", holding::handle)) {
+        Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, server);
+        CompletableFuture<CallerAnswer> answer =
+            dispatch(environment, new FrontDispatcher(environment));
         holding.arrived.acquire();
-        environment.crashes().heard(TWO_ENDS, CrashWatch.Source.PEER);
+        environment.crashes().heard(TWO_CRASHES, CrashWatch.Source.PEER);
         holding.released.countDown();
         assertEquals(answer.join().status().code(), 200);
         assertEquals(environment.crashes().table().endsUnder(IDENTITY), Set.of());
@@ -230,37 +228,42 @@
     }
 
     /**
-     * A copy is on a server when others learn what it does. Cancelled, the server drops it and is
-     * spared; its caller is told that it may have run.
+     * A copy is on a server when the crashes become known. It is cancelled, so that the server
+     * drops it and does not crash; the caller must be told that it may have been executed.
      */
     @Test
-    public void copiesOnServersAreCancelled() throws IOException, InterruptedException {
-      Holding holding = new Holding();
-      try (ScriptedServer server = new ScriptedServer("a", holding::run)) {
-        Environment environment = TestEnvironment.with(READ, server);
-        CompletableFuture<CallerAnswer> answer = ask(environment, new FrontDispatcher(environment));
+    public void copiesOfOneCallerAreCancelled() throws IOException, InterruptedException {
+      HoldingServer holding = new HoldingServer();
+      try (ScriptedServer server = new ScriptedServer("a", holding::handle)) {
+        Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, server);
+        CompletableFuture<CallerAnswer> answer =
+            dispatch(environment, new FrontDispatcher(environment));
         holding.arrived.acquire();
-        List<CrashReport> twoEnds =
+        List<CrashReport> twoCrashes =
             List.of(
                 new CrashReport.Ended(OF_CALLER, "x@0", false),
                 new CrashReport.Ended(OF_CALLER, "y@0", false));
-        environment.crashes().heard(twoEnds, CrashWatch.Source.PEER);
+        environment.crashes().heard(twoCrashes, CrashWatch.Source.PEER);
         assertEquals(answer.join().status().code(), 502);
         holding.released.countDown();
         environment.loop().stop();
       }
     }
 
-    /** Half of a booking may do harm, so one that is on a server is left to end. */
+    /**
+     * The partial execution of a non-idempotent request may do harm, so one that is on a server may
+     * complete.
+     */
     @Test
-    public void whatMayRunOnceIsLeftToEnd() throws IOException, InterruptedException {
-      Holding holding = new Holding();
-      try (ScriptedServer server = new ScriptedServer("a", holding::run)) {
-        Environment environment = TestEnvironment.with(ONCE, server);
-        CompletableFuture<CallerAnswer> answer = ask(environment, new FrontDispatcher(environment));
+    public void nonIdempotentRequestsMayComplete() throws IOException, InterruptedException {
+      HoldingServer holding = new HoldingServer();
+      try (ScriptedServer server = new ScriptedServer("a", holding::handle)) {
+        Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, server);
+        CompletableFuture<CallerAnswer> answer =
+            dispatch(environment, new FrontDispatcher(environment));
         holding.arrived.acquire();
-        environment.crashes().heard(TWO_ENDS, CrashWatch.Source.PEER);
-        environment.crashes().heard(TRIAL_ENDED, CrashWatch.Source.PEER);
+        environment.crashes().heard(TWO_CRASHES, CrashWatch.Source.PEER);
+        environment.crashes().heard(TRIAL_CRASHED, CrashWatch.Source.PEER);
         holding.released.countDown();
         assertEquals(answer.join().status().code(), 200);
         environment.loop().stop();
@@ -268,21 +271,20 @@
     }
 
     /**
-     * Two servers ended under a request that did nothing. One copy goes out to show it, and the
-     * others wait for its answer, which clears them: all callers are served.
+     * Two servers crashed while serving a request that is not the cause. One copy is sent as the
+     * trial; the others wait for its answer, which clears them, so all callers are served.
      */
     @Test
-    public void copiesWaitForTheTrialAndAreServedAfterIt()
-        throws IOException, InterruptedException {
-      Holding holding = new Holding();
-      try (ScriptedServer a = new ScriptedServer("a", holding::run);
-          ScriptedServer b = new ScriptedServer("b", holding::run)) {
-        Environment environment = TestEnvironment.with(READ, a, b);
-        environment.crashes().heard(TWO_ENDS, CrashWatch.Source.PEER);
+    public void copiesWaitForTheTrialAndAreServed() throws IOException, InterruptedException {
+      HoldingServer holding = new HoldingServer();
+      try (ScriptedServer a = new ScriptedServer("a", holding::handle);
+          ScriptedServer b = new ScriptedServer("b", holding::handle)) {
+        Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, a, b);
+        environment.crashes().heard(TWO_CRASHES, CrashWatch.Source.PEER);
         FrontDispatcher handler = new FrontDispatcher(environment);
-        CompletableFuture<CallerAnswer> first = ask(environment, handler);
+        CompletableFuture<CallerAnswer> first = dispatch(environment, handler);
         holding.arrived.acquire();
-        CompletableFuture<CallerAnswer> second = ask(environment, handler);
+        CompletableFuture<CallerAnswer> second = dispatch(environment, handler);
         holding.released.countDown();
         assertEquals(first.join().status().code(), 200);
         assertEquals(second.join().status().code(), 200);
@@ -291,19 +293,23 @@
       }
     }
 
-    /** The trial ended its server: who waited for it is turned away at once, and has not run. */
+    /**
+     * The trial crashes its server: requests that waited for its result are refused at once, and
+     * were not executed.
+     */
     @Test
-    public void copiesThatWaitedAreTurnedAwayWhenTheTrialEndsItsServer()
+    public void waitingCopiesAreRefusedWhenTheTrialCrashesItsServer()
         throws IOException, InterruptedException {
-      Holding holding = new Holding();
-      try (ScriptedServer server = new ScriptedServer("a", holding::run)) {
-        Environment environment = TestEnvironment.with(READ, server);
-        environment.crashes().heard(TWO_ENDS, CrashWatch.Source.PEER);
+      HoldingServer holding = new HoldingServer();
+      try (ScriptedServer server = new ScriptedServer("a", holding::handle)) {
+        Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, server);
+        environment.crashes().heard(TWO_CRASHES, CrashWatch.Source.PEER);
         environment
             .crashes()
             .heard(List.of(new CrashReport.Tried(IDENTITY, 1)), CrashWatch.Source.PEER);
-        CompletableFuture<CallerAnswer> answer = ask(environment, new FrontDispatcher(environment));
-        environment.crashes().heard(TRIAL_ENDED, CrashWatch.Source.PEER);
+        CompletableFuture<CallerAnswer> answer =
+            dispatch(environment, new FrontDispatcher(environment));
+        environment.crashes().heard(TRIAL_CRASHED, CrashWatch.Source.PEER);
         assertEquals(answer.join().status().code(), 503);
         assertTrue(Double.parseDouble(answer.join().headers().get("retry-after")) > 3_000);
         assertEquals(server.received().size(), 0);
@@ -312,18 +318,18 @@
     }
 
     /**
-     * A connection breaks while its server lives, as one of many that a network device has lost
-     * track of. Nothing may be held against the request, however often it happens.
+     * Connections break while their server keeps running, as they do when a network device has lost
+     * track of them. This must not count against the request, however often it happens.
      */
     @Test
-    public void aResetIsNoEnd() throws IOException {
+    public void aConnectionResetIsNotACrash() throws IOException {
       ScriptedServer.Script resets =
           request -> request.line().contains("/health") ? request.answer(200, "") : request.reset();
       try (ScriptedServer server = new ScriptedServer("a", resets)) {
-        Environment environment = TestEnvironment.with(READ, server);
+        Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, server);
         FrontDispatcher handler = new FrontDispatcher(environment);
         for (int i = 0; i < 5; i++) {
-          assertEquals(ask(environment, handler).join().status().code(), 502);
+          assertEquals(dispatch(environment, handler).join().status().code(), 502);
         }
         assertEquals(server.received().size(), 5);
         assertTrue(environment.crashes().quiet());
--- a/front/src/test/java/org/magnoliaswitch/front/request/EvacuationTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/EvacuationTest.java
@@ -26,37 +26,37 @@
 /** Requests while an operator evacuates the data centre of their servers. */
 public final class EvacuationTest {
   private static final long MINUTE = TimeUnit.MINUTES.toNanos(1);
-  private static final Script WELL = request -> request.answer(200, "well");
-  private static final Route ONCE = Requests.route(false);
-  private static final Route READ = Requests.route(true);
+  private static final Script SUCCEED = request -> request.answer(200, "ok");
+  private static final Route NON_IDEMPOTENT_ROUTE = Requests.route(false);
+  private static final Route IDEMPOTENT_ROUTE = Requests.route(true);
 
   private static void evacuate(Environment environment, long version, String... dataCentres)
       throws InterruptedException {
-    CountDownLatch done = new CountDownLatch(1);
+    CountDownLatch applied = new CountDownLatch(1);
     environment
         .loop()
         .execute(
             () -> {
               environment.servers().evacuate(new Evacuations(version, Set.of(dataCentres)));
-              done.countDown();
+              applied.countDown();
             });
-    done.await();
+    applied.await();
   }
 
   /**
-   * A booking is being run when its data centre is evacuated. The caller gets its answer: an
-   * evacuation takes new work away and leaves what is under way alone.
+   * A non-idempotent request is being executed when its data centre is evacuated. The caller must
+   * get its answer: an evacuation keeps new requests away and does not affect those in flight.
    */
   @Test
-  public void whatIsUnderWayEndsUndisturbed() throws IOException, InterruptedException {
+  public void requestsInFlightComplete() throws IOException, InterruptedException {
     CountDownLatch released = new CountDownLatch(1);
-    Script held =
+    Script hold =
         request -> {
           released.await();
           return request.answer(200, "done");
         };
-    try (ScriptedServer server = new ScriptedServer("a", held)) {
-      Environment environment = TestEnvironment.with(ONCE, server);
+    try (ScriptedServer server = new ScriptedServer("a", hold)) {
+      Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, server);
       CompletableFuture<CallerAnswer> answer = Requests.ask(environment);
       server.awaitFirst();
       evacuate(environment, 1, "here");
@@ -67,13 +67,15 @@
   }
 
   /**
-   * Every data centre of a service is evacuated. Its callers are told at once that their requests
-   * have not run and when to come back; nothing reaches a server, on a kept connection either.
+   * Every data centre of a service is evacuated. Its callers must be told at once that their
+   * requests were not executed and when to retry; nothing may reach a server, not even on a kept
+   * connection.
    */
   @Test
-  public void withAllEvacuatedCallersAreRefusedAtOnce() throws IOException, InterruptedException {
-    try (ScriptedServer server = new ScriptedServer("a", WELL)) {
-      Environment environment = TestEnvironment.with(READ, server);
+  public void requestsAreRefusedWhenAllDataCentresAreEvacuated()
+      throws IOException, InterruptedException {
+    try (ScriptedServer server = new ScriptedServer("a", SUCCEED)) {
+      Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, server);
       assertEquals(Requests.ask(environment).join().status().code(), 200);
       evacuate(environment, 1, "here");
       CallerAnswer refusal = Requests.ask(environment).join();
@@ -87,22 +89,22 @@
   }
 
   /**
-   * A read's server rejects it just after the data centre was evacuated. The further send must not
-   * go to the second server there, though it has room.
+   * A server rejects an idempotent request right after its data centre was evacuated. The further
+   * attempt must not go to the second server there, although it has capacity.
    */
   @Test
-  public void aFurtherSendGoesToNoEvacuatedServer() throws IOException, InterruptedException {
+  public void furtherAttemptsAvoidEvacuatedServers() throws IOException, InterruptedException {
     CountDownLatch released = new CountDownLatch(1);
-    Script rejects =
+    Script reject =
         request -> {
           released.await();
           request.write(
               "HTTP/1.1 503 X\r\nRequest-Id: 1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
           return true;
         };
-    try (ScriptedServer first = new ScriptedServer("a", rejects);
-        ScriptedServer second = new ScriptedServer("b", rejects)) {
-      Environment environment = TestEnvironment.with(READ, first, second);
+    try (ScriptedServer first = new ScriptedServer("a", reject);
+        ScriptedServer second = new ScriptedServer("b", reject)) {
+      Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, first, second);
       CompletableFuture<CallerAnswer> answer = Requests.ask(environment);
       while (first.received().size() + second.received().size() == 0) {
         Thread.onSpinWait();
@@ -116,12 +118,13 @@
   }
 
   /**
-   * A data centre is taken back, its servers count as cold, and this instance is not drawn for any:
-   * it sends nothing there until a server's health check says that it is warm. Then it does;
-   * otherwise a third of the slots would stand idle while callers are refused.
+   * After an evacuation ends, the servers count as cold, and this instance is not selected to send
+   * to any of them until a health check reports that its server is warm. It must send from then on;
+   * otherwise a third of the slots would be idle while callers are refused.
    */
   @Test
-  public void aServerThatSaysItIsWarmIsUsedAtOnce() throws IOException, InterruptedException {
+  public void serversThatReportToBeWarmAreUsedImmediately()
+      throws IOException, InterruptedException {
     Script warm =
         request -> {
           request.write(
@@ -131,11 +134,11 @@
           return true;
         };
     try (ScriptedServer server = new ScriptedServer("a", warm)) {
-      Environment environment = TestEnvironment.with(READ, server);
-      ServicePolicy cold = new ServicePolicy("s", "/health", 9, new Warmup(MINUTE, 0));
+      Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, server);
+      ServicePolicy policy = new ServicePolicy("s", "/health", 9, new Warmup(MINUTE, 0));
       environment
           .routes()
-          .set(new RouteTable(2, List.of(READ), List.of(cold), CallerLimits.DEFAULT));
+          .set(new RouteTable(2, List.of(IDEMPOTENT_ROUTE), List.of(policy), CallerLimits.DEFAULT));
       evacuate(environment, 1, "here");
       evacuate(environment, 2);
       assertEquals(Requests.ask(environment).join().status().code(), 503);
@@ -149,11 +152,12 @@
     }
   }
 
-  /** A route is bound to a region; a server elsewhere must never get its requests. */
+  /** A route is restricted to a region: servers elsewhere must never get its requests. */
   @Test
-  public void aRouteOfAnotherRegionGoesToNoServerHere() throws IOException {
-    try (ScriptedServer server = new ScriptedServer("a", WELL)) {
-      Environment environment = TestEnvironment.with(READ.within(Set.of("other region")), server);
+  public void routesOfAnotherRegionUseNoServerHere() throws IOException {
+    try (ScriptedServer server = new ScriptedServer("a", SUCCEED)) {
+      Environment environment =
+          TestEnvironment.with(IDEMPOTENT_ROUTE.within(Set.of("other region")), server);
       assertEquals(Requests.ask(environment).join().status().code(), 503);
       assertEquals(server.received().size(), 0);
       environment.loop().stop();
--- a/front/src/test/java/org/magnoliaswitch/front/request/ExchangeTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/ExchangeTest.java
@@ -15,9 +15,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What callers see, with real connections on both sides. */
+/** Requests over real connections to the caller and to the servers. */
 public final class ExchangeTest {
-  private static final long PATIENT = 5_000;
+  private static final long LONG_TIMEOUT_MILLIS = 5_000;
   private static final String BOTH_LENGTHS =
       "POST /safe/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n";
 
@@ -25,9 +25,9 @@
     return Integer.parseInt(answer.split(" ", 3)[1]);
   }
 
-  /** Faults of one server, and what becomes of a request that meets it. */
+  /** Faults of a server, and their effect on a request. */
   public static final class Faults {
-    /** Each row: name, script, status for a request that may run once, whether it is whole. */
+    /** Each row: name, script, expected status of a non-idempotent request. */
     @DataProvider
     public Object[][] faults() {
       Script truncated =
@@ -55,7 +55,7 @@
             return false;
           };
       Script unconfirmed = r -> r.answer(503, "busy");
-      Script notRun =
+      Script notExecuted =
           r -> {
             r.write("HTTP/1.1 503 X\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
             return true;
@@ -65,12 +65,12 @@
             r.write("HTTP/1.1 421 X\r\nServer-Id: other\r\nContent-Length: 0\r\n\r\n");
             return true;
           };
-      Script strangerFirst =
+      Script otherAnswerFirst =
           r -> {
             r.write("HTTP/1.1 200 X\r\nRequest-Id: old\r\nContent-Length: 3\r\n\r\nold");
             return r.answer(200, "own");
           };
-      Script noId =
+      Script withoutId =
           r -> {
             r.write("HTTP/1.1 200 X\r\nContent-Length: 3\r\nConnection: close\r\n\r\nabc");
             return false;
@@ -83,117 +83,123 @@
         {"reset", reset, 502},
         {"unframed, reset", unframedReset, 502},
         {"unframed", unframed, 200},
-        {"refusal without a promise", unconfirmed, 502},
-        {"not run", notRun, 503},
+        {"refusal without a Not-Run header", unconfirmed, 502},
+        {"not executed", notExecuted, 503},
         {"replaced", replaced, 503},
-        {"another's answer first", strangerFirst, 200},
-        {"no id", noId, 502},
+        {"answer to another request first", otherAnswerFirst, 200},
+        {"no id", withoutId, 502},
         {"failed", failed, 500},
       };
     }
 
     /**
-     * The request may run only once and there is one server. Only a server's own word lets it be
-     * said that the request has not run (503); after anything else its outcome is unknown.
+     * A non-idempotent request with a single server. Only the statement of the server itself
+     * permits the answer that the request was not executed (503); after any other fault it may have
+     * been executed.
      */
     @Test(dataProvider = "faults")
-    public void aRequestThatMayRunOnceIsNeverSaidNotToHaveRunWithoutProof(
+    public void nonIdempotentRequestsAreReportedAsNotExecutedOnlyWithProof(
         String name, Script script, int expected) throws IOException {
       try (ScriptedServer server = new ScriptedServer("a", script)) {
-        RunningFront front = new RunningFront(PATIENT, server);
-        String answer = front.ask("POST", "/once/1", PATIENT);
+        RunningFront front = new RunningFront(LONG_TIMEOUT_MILLIS, server);
+        String answer = front.ask("POST", "/once/1", LONG_TIMEOUT_MILLIS);
         assertEquals(status(answer), expected, name + ": " + answer);
         assertEquals(
             answer.contains("Retry-After:") || answer.contains("retry-after:"),
             expected == 503,
             answer);
-        // A server that was replaced shows it at the health check before the first send.
+        // A server that was replaced shows it at the health check before the first attempt.
         assertEquals(server.received().size(), name.equals("replaced") ? 0 : 1, name);
         assertFalse(answer.endsWith("old"), answer);
       }
     }
 
-    /** With a second server, an idempotent request gets its answer in spite of every fault. */
+    /** With a second server, an idempotent request gets its answer despite every fault. */
     @Test(dataProvider = "faults")
-    public void anIdempotentRequestIsServedByAnother(String name, Script script, int expected)
+    public void idempotentRequestsAreServedByAnotherServer(String name, Script script, int expected)
         throws IOException {
       AtomicBoolean first = new AtomicBoolean(true);
       Script once = r -> first.getAndSet(false) ? script.handle(r) : r.answer(200, "own");
       try (ScriptedServer a = new ScriptedServer("a", once);
           ScriptedServer b = new ScriptedServer("b", once)) {
-        RunningFront front = new RunningFront(PATIENT, a, b);
-        assertEquals(status(front.ask("GET", "/safe/1", PATIENT)), 200, name);
+        RunningFront front = new RunningFront(LONG_TIMEOUT_MILLIS, a, b);
+        assertEquals(status(front.ask("GET", "/safe/1", LONG_TIMEOUT_MILLIS)), 200, name);
       }
     }
   }
 
-  /** Time. */
+  /** Deadlines of requests. */
   public static final class Deadlines {
     @Test
-    public void theServerIsToldWhatIsLeftAndWhomTheRequestIsFor() throws IOException {
+    public void serversReceiveTheRemainingTimeAndTheirId() throws IOException {
       try (ScriptedServer server = new ScriptedServer("a", r -> r.answer(200, "x"))) {
         RunningFront front = new RunningFront(700, server);
         assertEquals(status(front.ask("GET", "/safe/1", 900)), 200);
         ScriptedServer.Received request = server.received().getFirst();
-        long told = Long.parseLong(request.header("Deadline-Millis"));
-        assertTrue(told > 0 && told <= 700, "told " + told);
+        long remainingMillis = Long.parseLong(request.header("Deadline-Millis"));
+        assertTrue(
+            remainingMillis > 0 && remainingMillis <= 700,
+            "remaining time in ms: " + remainingMillis);
         assertEquals(request.header("Expected-Server"), "a");
         assertEquals(request.line(), "GET /safe/1 HTTP/1.1");
       }
     }
 
     /**
-     * One of two servers takes requests and never answers, with its connection open. A read must
-     * not wait for it until the timeout: it is sent to the other server and answered from there.
+     * One of two servers accepts requests and never answers, with its connection open. An
+     * idempotent request must not wait for it until the timeout: it is sent to the other server,
+     * which answers.
      */
     @Test
-    public void aReadThatMeetsAHangingServerIsAnsweredByAnother() throws IOException {
-      Script silent =
+    public void idempotentRequestsAtAHungServerAreAnsweredByAnother() throws IOException {
+      Script unresponsive =
           r -> {
             r.awaitClose();
             return false;
           };
-      try (ScriptedServer hangs = new ScriptedServer("a", silent);
-          ScriptedServer good = new ScriptedServer("b", r -> r.answer(200, "x"))) {
-        RunningFront front = new RunningFront(3_000, hangs, good);
+      try (ScriptedServer hung = new ScriptedServer("a", unresponsive);
+          ScriptedServer healthy = new ScriptedServer("b", r -> r.answer(200, "x"))) {
+        RunningFront front = new RunningFront(3_000, hung, healthy);
         for (int i = 0; i < 6; i++) {
-          assertEquals(status(front.ask("GET", "/safe/" + i, PATIENT)), 200);
+          assertEquals(status(front.ask("GET", "/safe/" + i, LONG_TIMEOUT_MILLIS)), 200);
         }
-        assertTrue(hangs.received().size() <= 2, "the hanging server is avoided");
+        assertTrue(hung.received().size() <= 2, "the hung server received more than two requests");
       }
     }
 
-    /** The server never answers: the caller gets its final answer at the route's timeout. */
+    /**
+     * The server never answers: the caller must get its final answer at the timeout of the route.
+     */
     @Test
-    public void aSilentServerEndsInATimeoutOfUnknownOutcome() throws IOException {
-      Script silent =
+    public void anUnresponsiveServerLeadsToAGatewayTimeout() throws IOException {
+      Script unresponsive =
           r -> {
             r.awaitClose();
             return false;
           };
-      try (ScriptedServer server = new ScriptedServer("a", silent)) {
+      try (ScriptedServer server = new ScriptedServer("a", unresponsive)) {
         RunningFront front = new RunningFront(200, server);
-        assertEquals(status(front.ask("POST", "/once/1", PATIENT)), 504);
+        assertEquals(status(front.ask("POST", "/once/1", LONG_TIMEOUT_MILLIS)), 504);
       }
     }
   }
 
-  /** Callers that leave, or send several requests at once. */
+  /** Callers that close their connection, or send several requests at once. */
   public static final class Callers {
     /**
      * The caller closes its connection while a server works on its request. Nobody waits for the
-     * answer any more, so the server must see its own connection closed.
+     * answer any more, so the connection to the server must be closed.
      */
     @Test
-    public void workOfACallerThatLeftIsCancelled() throws IOException, InterruptedException {
+    public void requestsOfACallerThatLeftAreCancelled() throws IOException, InterruptedException {
       CountDownLatch cancelled = new CountDownLatch(1);
-      Script waits =
+      Script untilClosed =
           r -> {
             r.awaitClose();
             cancelled.countDown();
             return false;
           };
-      try (ScriptedServer server = new ScriptedServer("a", waits)) {
+      try (ScriptedServer server = new ScriptedServer("a", untilClosed)) {
         RunningFront front = new RunningFront(60_000, server);
         Socket caller = front.connect();
         RunningFront.send(caller, "GET", "/safe/1", 60_000, "");
@@ -204,8 +210,8 @@
     }
 
     /**
-     * Three requests come at once and the first is answered last. Each answer must come in the
-     * order of the requests, or the caller would take one for another.
+     * Three requests arrive at once and the first is answered last. The answers must come in the
+     * order of the requests, or the caller would match them to the wrong ones.
      */
     @Test
     public void answersKeepTheOrderOfPipelinedRequests() throws IOException {
@@ -241,9 +247,9 @@
     }
 
     @Test(dataProvider = "malformed")
-    public void whatIsNoProperRequestIsRefusedAndReachesNoServer(String bytes) throws IOException {
+    public void malformedRequestsAreRefusedAndReachNoServer(String bytes) throws IOException {
       try (ScriptedServer server = new ScriptedServer("a", r -> r.answer(200, "x"));
-          Socket caller = new RunningFront(PATIENT, server).connect()) {
+          Socket caller = new RunningFront(LONG_TIMEOUT_MILLIS, server).connect()) {
         caller.getOutputStream().write(bytes.getBytes(java.nio.charset.StandardCharsets.US_ASCII));
         String answer =
             new String(
@@ -256,36 +262,40 @@
     @Test
     public void aPathWithoutARouteIsNotFound() throws IOException {
       try (ScriptedServer server = new ScriptedServer("a", r -> r.answer(200, "x"))) {
-        assertEquals(status(new RunningFront(PATIENT, server).ask("GET", "/no/", 100)), 404);
+        assertEquals(
+            status(new RunningFront(LONG_TIMEOUT_MILLIS, server).ask("GET", "/no/", 100)), 404);
       }
     }
   }
 
-  /** Planned stops. */
+  /** Planned stops of an instance. */
   public static final class Stops {
-    /** The stop is taken up by the event loop, which may read an answer first. */
+    /**
+     * Waits until answers announce the stop. The event loop carries it out and may read an answer
+     * first.
+     */
     private static void awaitStopAnnounced(RunningFront front) throws IOException {
       String answer = "";
       while (!answer.toLowerCase(java.util.Locale.ROOT).contains("connection: close")) {
         try (Socket caller = front.connect()) {
-          RunningFront.send(caller, "GET", "/no/", PATIENT, "");
+          RunningFront.send(caller, "GET", "/no/", LONG_TIMEOUT_MILLIS, "");
           answer = RunningFront.readUntil(caller, "no_route");
         }
       }
     }
 
     /**
-     * The instance is told to stop while a server works on a request. The caller must get its
-     * answer, and the instance must not end before.
+     * The instance is stopped while a server works on a request. The caller must get its answer,
+     * and the instance must not exit before.
      */
     @Test
-    public void aRequestInFlightIsFinishedBeforeTheEnd() throws IOException, InterruptedException {
-      CountDownLatch go = new CountDownLatch(1);
+    public void requestsInFlightCompleteBeforeTheStop() throws IOException, InterruptedException {
+      CountDownLatch released = new CountDownLatch(1);
       AtomicBoolean stopped = new AtomicBoolean();
-      CountDownLatch end = new CountDownLatch(1);
+      CountDownLatch exited = new CountDownLatch(1);
       Script script =
           r -> {
-            go.await();
+            released.await();
             return r.answer(200, "done");
           };
       try (ScriptedServer server = new ScriptedServer("a", script)) {
@@ -296,16 +306,16 @@
           front.stop(
               () -> {
                 stopped.set(true);
-                end.countDown();
+                exited.countDown();
               });
           assertFalse(stopped.get());
           awaitStopAnnounced(front);
-          go.countDown();
+          released.countDown();
           String answer = RunningFront.readUntil(caller, "done");
           assertEquals(status(answer), 200);
           assertTrue(answer.toLowerCase(java.util.Locale.ROOT).contains("connection: close"));
         }
-        end.await();
+        exited.await();
       }
     }
   }
--- a/front/src/test/java/org/magnoliaswitch/front/request/FirstConfigurationTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/FirstConfigurationWaitTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.Test;
 
 /** Requests that reach an instance right after its start. */
-public final class FirstConfigurationTest {
+public final class FirstConfigurationWaitTest {
   private static final long MINUTE = TimeUnit.MINUTES.toNanos(1);
   private static final Route ROUTE =
       new Route("r", "h", "/", false, MINUTE, MINUTE, 0, 2, List.of(new WeightedService("s", 1)));
@@ -36,7 +36,7 @@
         "127.0.0.1");
   }
 
-  private static BlockingQueue<CallerAnswer> start(Environment environment) {
+  private static BlockingQueue<CallerAnswer> dispatch(Environment environment) {
     BlockingQueue<CallerAnswer> answers = new ArrayBlockingQueue<>(1);
     FrontDispatcher dispatcher = new FrontDispatcher(environment);
     environment.loop().execute(() -> dispatcher.start(request(environment), answers::add));
@@ -44,38 +44,38 @@
   }
 
   /**
-   * All instances lost power and their callers return together. The instance listens, but its
-   * configuration comes a moment later. The caller has one more try, so it must not be spent on a
+   * After a loss of all instances their callers retry together, and an instance listens a moment
+   * before it has its configuration. The caller has one more retry, which must not be spent on a
    * refusal: the request waits and is answered.
    */
   @Test
-  public void aRequestWaitsForTheFirstConfiguration() throws IOException, InterruptedException {
+  public void requestsWaitForTheFirstConfiguration() throws IOException, InterruptedException {
     try (ScriptedServer server = new ScriptedServer("a", r -> r.answer(200, "x"))) {
       Environment environment = TestEnvironment.unknowing();
-      BlockingQueue<CallerAnswer> answers = start(environment);
+      BlockingQueue<CallerAnswer> answers = dispatch(environment);
       environment.loop().execute(() -> TestEnvironment.know(environment, ROUTE, server));
       assertEquals(answers.take().status().code(), 200);
       environment.loop().stop();
     }
   }
 
-  /** Without any configuration the caller is told soon that its request has not run. */
+  /** Without any configuration, the caller must soon be told that its request was not executed. */
   @Test
-  public void aRequestIsRefusedWhenNoConfigurationComes() throws InterruptedException {
+  public void requestsAreRefusedWithoutAConfiguration() throws InterruptedException {
     Environment environment = TestEnvironment.unknowing();
-    CallerAnswer answer = start(environment).take();
+    CallerAnswer answer = dispatch(environment).take();
     assertEquals(answer.status().code(), 503);
     assertFalse(answer.headers().get("Retry-After").isEmpty());
     environment.loop().stop();
   }
 
   /**
-   * Before the first configuration it is not known which requests may run more than once. If such a
-   * request ran beside others of its connection, an answer that closes the connection would make
-   * its caller send it again.
+   * Before the first configuration it is not known which requests are idempotent. If a
+   * non-idempotent request were processed concurrently with others of its connection, an answer
+   * that closes the connection would make its caller send it again.
    */
   @Test
-  public void nothingRunsBesideOthersBeforeTheFirstConfiguration() {
+  public void noRequestIsIdempotentBeforeTheFirstConfiguration() {
     Environment environment = TestEnvironment.unknowing();
     assertFalse(new FrontDispatcher(environment).idempotent(request(environment)));
     environment.loop().stop();
--- a/front/src/test/java/org/magnoliaswitch/front/request/LeavingServerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/LeavingServerTest.java
@@ -16,22 +16,22 @@
 import org.magnoliaswitch.front.version.ServerList;
 import org.testng.annotations.Test;
 
-/** Servers that say in their answers that they leave, while discovery does not know it yet. */
+/** Servers that state in their answers that they are leaving, before discovery reports it. */
 public final class LeavingServerTest {
   private static final int REQUESTS = 20;
-  private static final Route ONCE = Requests.route(false);
-  private static final Route READ = Requests.route(true);
+  private static final Route NON_IDEMPOTENT_ROUTE = Requests.route(false);
+  private static final Route IDEMPOTENT_ROUTE = Requests.route(true);
 
   private static boolean leaving(ScriptedServer.Received request) throws IOException {
     return request.answerWith(200, "Leaving: 1", "Load: 0,0,6,100");
   }
 
-  /** Looks busier than the one that leaves. */
+  /** Reports more load than the server that leaves. */
   private static boolean staying(ScriptedServer.Received request) throws IOException {
     return request.answerWith(200, "Load: 3,0,6,100");
   }
 
-  private static void list(Environment environment, long version, ServerEntry... entries)
+  private static void applyServerList(Environment environment, long version, ServerEntry... entries)
       throws InterruptedException {
     Map<String, ServerEntry> servers = new HashMap<>();
     for (ServerEntry entry : entries) {
@@ -48,52 +48,54 @@
     applied.await();
   }
 
-  private static void askAll(Environment environment) {
+  private static void sendRequests(Environment environment) {
     for (int i = 0; i < REQUESTS; i++) {
       assertEquals(Requests.ask(environment).join().status().code(), 200);
     }
   }
 
-  /** Guards against new work at a server that leaves while the platform's store is away. */
+  /** Guards against new requests to a leaving server while the platform's store is unavailable. */
   @Test
-  public void getNothingMoreOnceAnAnswerHasSaidSo() throws IOException, InterruptedException {
+  public void receiveNoRequestsAfterAnAnswerStatesIt() throws IOException, InterruptedException {
     try (ScriptedServer leaving = new ScriptedServer("a", LeavingServerTest::leaving);
         ScriptedServer staying = new ScriptedServer("b", LeavingServerTest::staying)) {
-      Environment environment = TestEnvironment.with(ONCE, leaving);
+      Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, leaving);
       assertEquals(Requests.ask(environment).join().status().code(), 200);
-      list(environment, 2, leaving.entry(), staying.entry());
-      askAll(environment);
+      applyServerList(environment, 2, leaving.entry(), staying.entry());
+      sendRequests(environment);
       assertEquals(leaving.received().size(), 1);
       environment.loop().stop();
     }
   }
 
-  /** Guards against a departure that is forgotten when the server's entry lapses and comes back. */
+  /**
+   * Guards against a departure that is forgotten when the entry of the server expires and returns.
+   */
   @Test
-  public void getNothingMoreAfterTheirEntryHasLapsedAndComeBack()
+  public void receiveNoRequestsAfterTheirEntryExpiresAndReturns()
       throws IOException, InterruptedException {
     try (ScriptedServer leaving = new ScriptedServer("a", LeavingServerTest::leaving);
         ScriptedServer staying = new ScriptedServer("b", LeavingServerTest::staying)) {
-      Environment environment = TestEnvironment.with(READ, leaving);
+      Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, leaving);
       assertEquals(Requests.ask(environment).join().status().code(), 200);
-      list(environment, 2, staying.entry());
-      list(environment, 3, leaving.entry(), staying.entry());
-      askAll(environment);
+      applyServerList(environment, 2, staying.entry());
+      applyServerList(environment, 3, leaving.entry(), staying.entry());
+      sendRequests(environment);
       assertEquals(leaving.received().size(), 1);
       environment.loop().stop();
     }
   }
 
-  /** Guards against a server that stays unused after it has left and started again. */
+  /** Guards against a server that stays unused after it has left and restarted. */
   @Test
-  public void areUsedAgainOnceTheyHaveStartedAgain() throws IOException, InterruptedException {
+  public void receiveRequestsAgainAfterARestart() throws IOException, InterruptedException {
     try (ScriptedServer leaving = new ScriptedServer("a", LeavingServerTest::leaving);
-        ScriptedServer next = new ScriptedServer("a", LeavingServerTest::staying)) {
-      Environment environment = TestEnvironment.with(READ, leaving);
+        ScriptedServer restarted = new ScriptedServer("a", LeavingServerTest::staying)) {
+      Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, leaving);
       assertEquals(Requests.ask(environment).join().status().code(), 200);
-      list(environment, 2, Servers.restarted(next.entry()));
-      askAll(environment);
-      assertEquals(next.received().size(), REQUESTS);
+      applyServerList(environment, 2, Servers.restarted(restarted.entry()));
+      sendRequests(environment);
+      assertEquals(restarted.received().size(), REQUESTS);
       environment.loop().stop();
     }
   }
--- a/front/src/test/java/org/magnoliaswitch/front/request/LimitedServerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/LimitedServerTest.java
@@ -23,13 +23,15 @@
 import org.magnoliaswitch.front.version.Warmup;
 import org.testng.annotations.Test;
 
-/** An overloaded server names the requests a second that it takes from all instances together. */
+/**
+ * An overloaded server states the requests per second that it accepts from all instances together.
+ */
 public final class LimitedServerTest {
   private static final double LIMIT_PER_SECOND = 1;
   private static final long SPAN_NANOS = TimeUnit.SECONDS.toNanos(4);
 
-  /** What the server bears in any such span: half as much again and five requests. */
-  private static final long MOST_IN_SPAN = (long) (1.5 * 4 * LIMIT_PER_SECOND) + 5;
+  /** Requests that the server accepts within four seconds: half more than its limit, and five. */
+  private static final long MAX_IN_SPAN = (long) (1.5 * 4 * LIMIT_PER_SECOND) + 5;
 
   private static final int INSTANCES = 3;
   private static final int REQUESTS = 300;
@@ -44,33 +46,35 @@
     return request.answerWith(200, "Request-Limit: " + LIMIT_PER_SECOND, "Load: 0,0,6,100");
   }
 
-  private static boolean half(ScriptedServer.Received request) throws IOException {
+  private static boolean halfLoaded(ScriptedServer.Received request) throws IOException {
     return request.answerWith(200, "Load: 3,0,6,100");
   }
 
   /**
-   * Guards against an overloaded server that gets the load of all instances because it looks idle.
+   * Guards against an overloaded server that gets the load of all instances because it reports no
+   * load.
    */
   @Test
-  public void allInstancesTogetherKeepTheLimitOfAServer() throws IOException {
+  public void allInstancesTogetherRespectTheLimit() throws IOException {
     try (ScriptedServer limited = new ScriptedServer("a", this::limited);
-        ScriptedServer other = new ScriptedServer("b", LimitedServerTest::half)) {
+        ScriptedServer other = new ScriptedServer("b", LimitedServerTest::halfLoaded)) {
       List<RunningFront> fronts = RunningFront.group(INSTANCES, 10_000, limited, other);
       for (int i = 0; i < REQUESTS; i++) {
         String answer = fronts.get(i % INSTANCES).ask("GET", "/safe/" + i, 10_000);
         assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
       }
       long most = Bursts.mostInSpan(arrivals, SPAN_NANOS);
-      assertTrue(most <= MOST_IN_SPAN, most + " in a span");
+      assertTrue(most <= MAX_IN_SPAN, most + " requests within a span");
       fronts.forEach(front -> front.stop(() -> {}));
     }
   }
 
   /**
-   * Guards against a limit that ends because the server turned a request away without naming it.
+   * Guards against a limit that ends because the server rejected a request without stating the
+   * limit.
    */
   @Test
-  public void keepsItsLimitWhenItTurnsARequestAway() throws IOException {
+  public void limitRemainsAfterARejection() throws IOException {
     AtomicInteger requests = new AtomicInteger();
     ScriptedServer.Script script =
         request -> {
@@ -88,28 +92,29 @@
   }
 
   /**
-   * Guards against health checks, each a request too, that double what an overloaded server gets.
+   * Guards against health checks, which are requests too, that double the load of an overloaded
+   * server.
    */
   @Test
-  public void isNotAskedForItsLoad() throws IOException {
-    AtomicInteger checks = new AtomicInteger();
+  public void limitedServersAreNotProbed() throws IOException {
+    AtomicInteger healthChecks = new AtomicInteger();
     ScriptedServer.Script script =
         request -> {
           if (request.line().contains("/health")) {
-            checks.incrementAndGet();
+            healthChecks.incrementAndGet();
           }
           return limited(request);
         };
     try (ScriptedServer server = new ScriptedServer("a", script)) {
       Route route = Requests.route(true);
       Environment environment = TestEnvironment.with(route, server);
-      ServicePolicy askable = new ServicePolicy("s", "/health", 9, Warmup.UNLIMITED);
+      ServicePolicy policy = new ServicePolicy("s", "/health", 9, Warmup.UNLIMITED);
       environment
           .routes()
-          .set(new RouteTable(2, List.of(route), List.of(askable), CallerLimits.DEFAULT));
+          .set(new RouteTable(2, List.of(route), List.of(policy), CallerLimits.DEFAULT));
       assertEquals(Requests.ask(environment).join().status().code(), 200);
       assertEquals(server.received().size(), 1);
-      assertEquals(checks.get(), 1, "more than the one that named the limit");
+      assertEquals(healthChecks.get(), 1, "health checks besides the one that stated the limit");
       environment.loop().stop();
     }
   }
--- a/front/src/test/java/org/magnoliaswitch/front/request/NoticeHeadersTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/NoticeHeadersTest.java
@@ -13,27 +13,27 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What a server asks for in the headers of its answers. */
+/** Parsing of the notices that servers send in the headers of their answers. */
 public final class NoticeHeadersTest {
   private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
   private static ServerNotice read(int status, HttpHeaders headers) {
-    HttpResponseStatus answered = HttpResponseStatus.valueOf(status);
+    HttpResponseStatus responseStatus = HttpResponseStatus.valueOf(status);
     return NoticeHeaders.read(
-        new ServerReply.Whole(answered, headers, new byte[0]), TestHeaders.NAMES);
+        new ServerReply.Whole(responseStatus, headers, new byte[0]), TestHeaders.NAMES);
   }
 
-  private static ServerNotice with(int status, String name, String value) {
+  private static ServerNotice readHeader(int status, String name, String value) {
     return read(status, new DefaultHttpHeaders().set(name, value));
   }
 
   @Test
-  public void anAnswerWithoutTheHeadersAsksForNothing() {
+  public void answersWithoutTheHeadersHaveNoNotice() {
     assertEquals(read(200, new DefaultHttpHeaders()), ServerNotice.NONE);
   }
 
   @Test
-  public void allThreeAreRead() {
+  public void allThreeHeadersAreParsed() {
     HttpHeaders headers =
         new DefaultHttpHeaders()
             .set("Leaving", "1")
@@ -44,26 +44,26 @@
   }
 
   @Test
-  public void oneThatSaysNoDoesNotLeave() {
-    assertEquals(with(200, "Leaving", "0"), ServerNotice.NONE);
+  public void leavingOfZeroMeansNotLeaving() {
+    assertEquals(readHeader(200, "Leaving", "0"), ServerNotice.NONE);
   }
 
-  /** A server that answers a request has not turned it away, whatever it tells its caller. */
+  /** A server that answers a request has not rejected it, even if it sends Retry-After. */
   @Test
-  public void onlyARequestThatIsTurnedAwayBringsAPause() {
-    assertEquals(with(200, "Retry-After", "3").pauseNanos(), 0);
-    assertEquals(with(500, "Retry-After", "3").pauseNanos(), 0);
-    assertEquals(with(429, "Retry-After", "3").pauseNanos(), 3 * SECOND);
+  public void onlyRejectionsRequestAPause() {
+    assertEquals(readHeader(200, "Retry-After", "3").pauseNanos(), 0);
+    assertEquals(readHeader(500, "Retry-After", "3").pauseNanos(), 0);
+    assertEquals(readHeader(429, "Retry-After", "3").pauseNanos(), 3 * SECOND);
   }
 
   @DataProvider
-  public Object[][] unreadable() {
+  public Object[][] invalidValues() {
     return new Object[][] {{""}, {"soon"}, {"-1"}, {"1e9"}, {"NaN"}, {"4,6"}, {"12345678901"}};
   }
 
-  @Test(dataProvider = "unreadable")
-  public void aValueThatIsNoNumberAsksForNothing(String value) {
-    assertEquals(with(503, "Retry-After", value), ServerNotice.NONE);
-    assertEquals(with(503, "Request-Limit", value), ServerNotice.NONE);
+  @Test(dataProvider = "invalidValues")
+  public void invalidValuesAreIgnored(String value) {
+    assertEquals(readHeader(503, "Retry-After", value), ServerNotice.NONE);
+    assertEquals(readHeader(503, "Request-Limit", value), ServerNotice.NONE);
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/request/OverdueReadTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/OverdueRequestTest.java
@@ -26,14 +26,16 @@
 import org.magnoliaswitch.front.version.WeightedService;
 import org.testng.annotations.Test;
 
-/** A read whose server does not answer, or fails. */
-public final class OverdueReadTest {
+/** An idempotent request whose server does not answer or fails. */
+public final class OverdueRequestTest {
   private static final long OBJECTIVE = TimeUnit.MILLISECONDS.toNanos(20);
   private static final long MINUTE = TimeUnit.MINUTES.toNanos(1);
   private static final Route ROUTE =
       new Route("r", "h", "/", true, MINUTE, OBJECTIVE, 0, 2, List.of(new WeightedService("s", 1)));
 
-  /** Long enough for a first connection on a starved machine, which took 1.4 s. */
+  /**
+   * The timeout exceeds a first connection on a machine short of processor time, which took 1.4 s.
+   */
   private static final Route SHORT_ROUTE =
       new Route(
           "r",
@@ -46,15 +48,16 @@
           2,
           List.of(new WeightedService("s", 1)));
 
-  /** Finds one server first, then nothing for some searches, then another server. */
-  private record LateFinder(ServerState first, ServerState second, int[] searches, int fullSearches)
+  /** Finds a first server, then none for several searches, then a second server. */
+  private record DelayedFinder(
+      ServerState first, ServerState second, int[] searchCount, int searchesWithoutResult)
       implements ServerFinder {
     @Override
-    public void search(ServerQuery wanted, Set<String> excluded, Consumer<Result> found) {
-      int search = searches[0]++;
+    public void search(ServerQuery query, Set<String> excluded, Consumer<Result> found) {
+      int search = searchCount[0]++;
       if (search == 0) {
         found.accept(new Result.Chosen(first));
-      } else if (search <= fullSearches) {
+      } else if (search <= searchesWithoutResult) {
         found.accept(new Result.Full(0));
       } else {
         found.accept(new Result.Chosen(second));
@@ -62,22 +65,23 @@
     }
 
     @Override
-    public void sought(String service, Timeliness timeliness, boolean found) {
-      // Nothing is learnt from one request.
+    public void recordFirstSearch(String service, Timeliness timeliness, boolean found) {
+      // Not needed for a single request.
     }
 
     @Override
-    public boolean suits(ServerState server, ServerQuery wanted) {
+    public boolean isSuitable(ServerState server, ServerQuery query) {
       return false;
     }
   }
 
   /**
    * The server hangs, and when the answer is overdue all others are full. A moment later one has
-   * room. The caller still waits and must get the answer from there, not the hung server's silence.
+   * capacity. The caller still waits and must get the answer from there, instead of a timeout.
    */
   @Test
-  public void aSecondServerIsSoughtUntilThereIsRoom() throws IOException, InterruptedException {
+  public void searchesForASecondServerUntilThereIsCapacity()
+      throws IOException, InterruptedException {
     BlockingQueue<CallerAnswer> answers = new ArrayBlockingQueue<>(1);
     try (ScriptedServer hung =
             new ScriptedServer(
@@ -86,10 +90,10 @@
                   r.awaitClose();
                   return false;
                 });
-        ScriptedServer well = new ScriptedServer("b", r -> r.answer(200, "x"))) {
-      Environment environment = TestEnvironment.with(ROUTE, hung, well);
+        ScriptedServer healthy = new ScriptedServer("b", r -> r.answer(200, "x"))) {
+      Environment environment = TestEnvironment.with(ROUTE, hung, healthy);
       ServerState first = state(environment, "a");
-      LateFinder finder = new LateFinder(first, state(environment, "b"), new int[1], 2);
+      DelayedFinder finder = new DelayedFinder(first, state(environment, "b"), new int[1], 2);
       Exchange exchange =
           new Exchange(
               environment,
@@ -104,18 +108,19 @@
   }
 
   /**
-   * The server has run the read and failed, and no second server has room while the caller waits.
-   * It must get the server's own answer, not one of ours that says less.
+   * The server has executed the request and failed, and no second server has capacity while the
+   * caller waits. The caller must get the answer of the server, which says more than one of the
+   * instance.
    */
   @Test
-  public void aFailureIsPassedOnWhenNoSecondServerHasRoom()
+  public void forwardsAFailureWhenNoSecondServerHasCapacity()
       throws IOException, InterruptedException {
     BlockingQueue<CallerAnswer> answers = new ArrayBlockingQueue<>(1);
     try (ScriptedServer failing = new ScriptedServer("a", r -> r.answer(500, "reason"))) {
       Environment environment = TestEnvironment.with(SHORT_ROUTE, failing);
       ServerState server = state(environment, "a");
-      // The second search and all after it find nothing.
-      LateFinder finder = new LateFinder(server, server, new int[] {0}, Integer.MAX_VALUE);
+      // The second search and all later ones find nothing.
+      DelayedFinder finder = new DelayedFinder(server, server, new int[] {0}, Integer.MAX_VALUE);
       Exchange exchange =
           new Exchange(
               environment,
--- a/front/src/test/java/org/magnoliaswitch/front/request/PausedServerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/PausedServerTest.java
@@ -23,77 +23,81 @@
 import org.magnoliaswitch.front.version.Warmup;
 import org.testng.annotations.Test;
 
-/** Servers that turn a request away and ask for a pause. */
+/** Servers that reject a request and ask for a pause. */
 public final class PausedServerTest {
   private static final int REQUESTS = 20;
 
   /** Requests that a server may get from an instance during its pause. */
-  private static final int MOST_DURING_PAUSE = 2;
+  private static final int MAX_DURING_PAUSE = 2;
 
-  private static final Route ONCE = Requests.route(false);
+  private static final Route NON_IDEMPOTENT_ROUTE = Requests.route(false);
 
-  private static boolean shedding(ScriptedServer.Received request) throws IOException {
+  private static boolean rejecting(ScriptedServer.Received request) throws IOException {
     return request.line().contains("/health")
         ? request.answerWith(200, "Load: 0,0,6,100")
         : request.answerWith(503, "Not-Run: 1", "Retry-After: 60", "Load: 0,0,6,100");
   }
 
-  private static void assertLeftAlone(ScriptedServer server) {
-    int reached = server.received().size();
-    assertTrue(reached <= 1 + MOST_DURING_PAUSE, reached + " reached " + server.entry().id());
+  private static void assertPauseRespected(ScriptedServer server) {
+    int requests = server.received().size();
+    assertTrue(
+        requests <= 1 + MAX_DURING_PAUSE, requests + " requests reached " + server.entry().id());
   }
 
-  /** Guards against requests that go on reaching servers that asked for a pause. */
+  /** Guards against requests that still reach servers that asked for a pause. */
   @Test
-  public void getNoMoreBeforeThePauseHasEnded() throws IOException {
-    try (ScriptedServer first = new ScriptedServer("a", PausedServerTest::shedding);
-        ScriptedServer second = new ScriptedServer("b", PausedServerTest::shedding)) {
-      Environment environment = TestEnvironment.with(ONCE, first, second);
+  public void receiveNoRequestsDuringThePause() throws IOException {
+    try (ScriptedServer first = new ScriptedServer("a", PausedServerTest::rejecting);
+        ScriptedServer second = new ScriptedServer("b", PausedServerTest::rejecting)) {
+      Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, first, second);
       for (int i = 0; i < REQUESTS; i++) {
         assertEquals(Requests.ask(environment).join().status().code(), 503);
       }
-      assertLeftAlone(first);
-      assertLeftAlone(second);
+      assertPauseRespected(first);
+      assertPauseRespected(second);
       environment.loop().stop();
     }
   }
 
-  /** Guards against callers that wait in vain while all servers have asked for a long pause. */
+  /** Guards against requests that wait in vain while all servers have asked for a long pause. */
   @Test
-  public void areNotWaitedForWhenThePauseIsLong() throws IOException {
-    try (ScriptedServer shedding = new ScriptedServer("a", PausedServerTest::shedding)) {
-      Environment environment = TestEnvironment.with(ONCE, shedding);
+  public void requestsDoNotWaitForALongPause() throws IOException {
+    try (ScriptedServer rejecting = new ScriptedServer("a", PausedServerTest::rejecting)) {
+      Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, rejecting);
       for (int i = 0; i < REQUESTS; i++) {
         CallerAnswer answer = Requests.ask(environment).join();
         assertEquals(answer.status().code(), 503);
         assertTrue(answer.headers().contains("Retry-After"));
       }
-      assertLeftAlone(shedding);
+      assertPauseRespected(rejecting);
       environment.loop().stop();
     }
   }
 
   /**
-   * Guards against a health check whose connection was being opened when the pause was asked for.
+   * Guards against a health check whose connection is being opened when the server asks for a
+   * pause.
    */
   @Test
-  public void getNoHealthCheckThatWasUnderWay() throws IOException {
-    AtomicInteger checks = new AtomicInteger();
+  public void receiveNoPendingHealthCheck() throws IOException {
+    AtomicInteger healthChecks = new AtomicInteger();
     ScriptedServer.Script counting =
         request -> {
-          checks.incrementAndGet();
+          healthChecks.incrementAndGet();
           return request.answerWith(200, "Load: 0,0,6,100");
         };
     try (ScriptedServer server = new ScriptedServer("a", counting)) {
-      Environment environment = TestEnvironment.with(ONCE, server);
-      ServicePolicy askable = new ServicePolicy("s", "/health", 9, Warmup.UNLIMITED);
+      Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, server);
+      ServicePolicy policy = new ServicePolicy("s", "/health", 9, Warmup.UNLIMITED);
       environment
           .routes()
-          .set(new RouteTable(2, List.of(ONCE), List.of(askable), CallerLimits.DEFAULT));
+          .set(
+              new RouteTable(
+                  2, List.of(NON_IDEMPOTENT_ROUTE), List.of(policy), CallerLimits.DEFAULT));
       CompletableFuture<CallerAnswer> answer = Requests.ask(environment);
       environment.loop().execute(() -> pause(environment));
       assertEquals(answer.join().status().code(), 503);
-      assertEquals(checks.get(), 0);
+      assertEquals(healthChecks.get(), 0);
       environment.loop().stop();
     }
   }
--- a/front/src/test/java/org/magnoliaswitch/front/request/RestartedServerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/RestartedServerTest.java
@@ -21,17 +21,17 @@
 import org.magnoliaswitch.front.version.ServerList;
 import org.testng.annotations.Test;
 
-/** Requests under way while their server starts again under the id that it had. */
+/** Requests in flight while their server restarts under the same id. */
 public final class RestartedServerTest {
-  private static final Script WELL = request -> request.answer(200, "again");
-  private static final Route ONCE = Requests.route(false);
-  private static final Route READ = Requests.route(true);
+  private static final Script SUCCEED = request -> request.answer(200, "ok");
+  private static final Route NON_IDEMPOTENT_ROUTE = Requests.route(false);
+  private static final Route IDEMPOTENT_ROUTE = Requests.route(true);
 
-  /** Discovery tells that the server has started again, at another port. */
-  private static void restart(Environment environment, ScriptedServer next)
+  /** Applies a list in which the server has restarted at another port. */
+  private static void restart(Environment environment, ScriptedServer restarted)
       throws InterruptedException {
     CountDownLatch applied = new CountDownLatch(1);
-    ServerList list = new ServerList(2, Map.of("a", Servers.restarted(next.entry())));
+    ServerList list = new ServerList(2, Map.of("a", Servers.restarted(restarted.entry())));
     environment
         .loop()
         .execute(
@@ -46,43 +46,44 @@
     return environment.servers().of("s").getFirst().state();
   }
 
-  /** Answers its request when the test says so. */
-  private static Script held(CountDownLatch released, Script then) {
+  /** Answers a request once the test releases it. */
+  private static Script holding(CountDownLatch released, Script script) {
     return request -> {
       released.await();
-      return then.handle(request);
+      return script.handle(request);
     };
   }
 
   /**
-   * A booking is at a server that crashes and starts again under its id. The caller sees 502: the
-   * old process may have run it. The new one has room and the same name, and would run it twice.
+   * A server crashes while it serves a non-idempotent request, and restarts under the same id. The
+   * caller must receive 502, since the old process may have executed the request. The new process
+   * has capacity and the same id, and would execute it a second time.
    */
   @Test
-  public void whatMayRunOnceIsNotSentToTheNewIncarnation()
+  public void nonIdempotentRequestsAreNotRepeatedAtTheNewIncarnation()
       throws IOException, InterruptedException {
     CountDownLatch released = new CountDownLatch(1);
-    Script crash = held(released, ScriptedServer.Received::reset);
+    Script crash = holding(released, ScriptedServer.Received::reset);
     try (ScriptedServer old = new ScriptedServer("a", crash);
-        ScriptedServer next = new ScriptedServer("a", WELL)) {
-      Environment environment = TestEnvironment.with(ONCE, old);
+        ScriptedServer restarted = new ScriptedServer("a", SUCCEED)) {
+      Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, old);
       CompletableFuture<CallerAnswer> answer = Requests.ask(environment);
       old.awaitFirst();
-      restart(environment, next);
+      restart(environment, restarted);
       released.countDown();
       assertEquals(answer.join().status().code(), 502);
-      assertEquals(next.received().size(), 0);
+      assertEquals(restarted.received().size(), 0);
       environment.loop().stop();
     }
   }
 
   /**
-   * A server's answer arrives after discovery has told of its next incarnation. The caller gets the
-   * answer; the load, latency and failures of the old process say nothing of the new one, which
-   * would otherwise be passed by while it stands idle.
+   * The answer of a server arrives after discovery has reported its next incarnation. The caller
+   * must get the answer. The load, latency and failures of the old process must not affect the new
+   * one, which would otherwise be avoided while it is idle.
    */
   @Test
-  public void aLateAnswerSaysNothingOfTheNewIncarnation() throws IOException, InterruptedException {
+  public void aLateAnswerDoesNotAffectTheNewIncarnation() throws IOException, InterruptedException {
     CountDownLatch released = new CountDownLatch(1);
     Script busy =
         request -> {
@@ -90,13 +91,13 @@
               "HTTP/1.1 200 X\r\nRequest-Id: 1\r\nLoad: 6,4,6,400\r\nContent-Length: 1\r\n\r\nx");
           return true;
         };
-    try (ScriptedServer old = new ScriptedServer("a", held(released, busy));
-        ScriptedServer next = new ScriptedServer("a", WELL)) {
-      Environment environment = TestEnvironment.with(READ, old);
+    try (ScriptedServer old = new ScriptedServer("a", holding(released, busy));
+        ScriptedServer restarted = new ScriptedServer("a", SUCCEED)) {
+      Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, old);
       ServerState before = state(environment);
       CompletableFuture<CallerAnswer> answer = Requests.ask(environment);
       old.awaitFirst();
-      restart(environment, next);
+      restart(environment, restarted);
       released.countDown();
       assertEquals(answer.join().status().code(), 200);
       ServerState after = state(environment);
@@ -110,20 +111,20 @@
   }
 
   /**
-   * A server has answered and keeps its connection; then it starts again at another port. The next
-   * request must reach the new process: on the kept connection it would meet a reset, or whoever
-   * has the old address now.
+   * A server has answered and keeps its connection; then it restarts at another port. The next
+   * request must reach the new process: on the kept connection it would meet a reset, or another
+   * process that now has the old address.
    */
   @Test
   public void theNextRequestReachesTheNewIncarnation() throws IOException, InterruptedException {
-    try (ScriptedServer old = new ScriptedServer("a", WELL);
-        ScriptedServer next = new ScriptedServer("a", WELL)) {
-      Environment environment = TestEnvironment.with(ONCE, old);
+    try (ScriptedServer old = new ScriptedServer("a", SUCCEED);
+        ScriptedServer restarted = new ScriptedServer("a", SUCCEED)) {
+      Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, old);
       assertEquals(Requests.ask(environment).join().status().code(), 200);
-      restart(environment, next);
+      restart(environment, restarted);
       assertEquals(Requests.ask(environment).join().status().code(), 200);
       assertEquals(old.received().size(), 1);
-      assertEquals(next.received().size(), 1);
+      assertEquals(restarted.received().size(), 1);
       environment.loop().stop();
     }
   }
--- a/front/src/test/java/org/magnoliaswitch/front/request/WaitingRequestTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/WaitingRequestTest.java
@@ -25,46 +25,46 @@
 import org.magnoliaswitch.front.version.WeightedService;
 import org.testng.annotations.Test;
 
-/** A request that waits for room while searches and offers overlap. */
+/** A request that waits for capacity while searches and offers overlap. */
 public final class WaitingRequestTest {
   private static final long MINUTE = TimeUnit.MINUTES.toNanos(1);
   private static final Route ROUTE =
       new Route("r", "h", "/", false, MINUTE, MINUTE, 0, 2, List.of(new WeightedService("s", 1)));
 
-  /** Holds every search open until the test answers it. */
-  private static final class HeldFinder implements ServerFinder {
+  /** Leaves every search without a result until the test provides one. */
+  private static final class PendingFinder implements ServerFinder {
     private final List<Consumer<Result>> searches = new ArrayList<>();
-    private final CountDownLatch second = new CountDownLatch(2);
+    private final CountDownLatch secondSearch = new CountDownLatch(2);
 
     @Override
-    public void search(ServerQuery wanted, Set<String> excluded, Consumer<Result> found) {
+    public void search(ServerQuery query, Set<String> excluded, Consumer<Result> found) {
       searches.add(found);
-      second.countDown();
+      secondSearch.countDown();
     }
 
     @Override
-    public void sought(String service, Timeliness timeliness, boolean found) {
-      // Nothing is learnt from one request.
+    public void recordFirstSearch(String service, Timeliness timeliness, boolean found) {
+      // Not needed for a single request.
     }
 
     @Override
-    public boolean suits(ServerState server, ServerQuery wanted) {
+    public boolean isSuitable(ServerState server, ServerQuery query) {
       return true;
     }
   }
 
   /**
-   * All servers are full, so a booking waits in line and a second search has its health checks
-   * under way. Then another request's answer tells of room and the booking goes there. The answers
-   * to the health checks must not send the booking a second time: it would run twice.
+   * All servers are full, so a non-idempotent request is queued, and the health checks of its
+   * second search are pending. Then the answer to another request reports capacity and the request
+   * is sent there. The answers to the health checks must not send it a second time: it would be
+   * executed twice.
    */
   @Test
-  public void aLateSearchResultDoesNotSendARequestThatHasFoundRoom()
-      throws IOException, InterruptedException {
+  public void aLateSearchResultDoesNotSendARequestAgain() throws IOException, InterruptedException {
     CountDownLatch answered = new CountDownLatch(1);
     try (ScriptedServer server = new ScriptedServer("a", r -> r.answer(200, "x"))) {
       Environment environment = TestEnvironment.with(ROUTE, server);
-      HeldFinder finder = new HeldFinder();
+      PendingFinder finder = new PendingFinder();
       ServerState state = environment.servers().of("s").getFirst().state();
       CallerRequest request =
           new CallerRequest(
@@ -75,9 +75,9 @@
               environment.clocks().nanos(),
               false,
               "127.0.0.1");
-      Consumer<CallerAnswer> answer = given -> answered.countDown();
-      PendingQueue<Placing> pending = new PendingQueue<>(Mechanisms.ALL);
-      Exchange exchange = new Exchange(environment, finder, pending, request, answer);
+      Consumer<CallerAnswer> answer = result -> answered.countDown();
+      PendingQueue<RequestPlacement> pendingQueue = new PendingQueue<>(Mechanisms.ALL);
+      Exchange exchange = new Exchange(environment, finder, pendingQueue, request, answer);
       environment
           .loop()
           .execute(
@@ -85,12 +85,12 @@
                 exchange.start(() -> Optional.of(ROUTE));
                 finder.searches.getFirst().accept(new ServerFinder.Result.Full(0));
               });
-      finder.second.await();
+      finder.secondSearch.await();
       environment
           .loop()
           .execute(
               () -> {
-                pending.first("s").orElseThrow().offered(state);
+                pendingQueue.first("s").orElseThrow().acceptOffer(state);
                 finder.searches.getLast().accept(new ServerFinder.Result.Chosen(state));
               });
       answered.await();
