--- a/front/src/main/java/org/magnoliaswitch/front/FrontProcess.java
+++ b/front/src/main/java/org/magnoliaswitch/front/FrontProcess.java
@@ -6,7 +6,7 @@
 import org.magnoliaswitch.core.process.CrashWatch;
 import org.magnoliaswitch.front.connection.ServerConnector;
 import org.magnoliaswitch.front.loop.Loop;
-import org.magnoliaswitch.front.process.ColdSends;
+import org.magnoliaswitch.front.process.ColdServerQuotas;
 import org.magnoliaswitch.front.process.CrashLog;
 import org.magnoliaswitch.front.process.Environment;
 import org.magnoliaswitch.front.process.EventLog;
@@ -16,12 +16,12 @@
 import org.magnoliaswitch.front.process.FrontSettings;
 import org.magnoliaswitch.front.process.InstanceCount;
 import org.magnoliaswitch.front.process.KnownState;
-import org.magnoliaswitch.front.process.News;
-import org.magnoliaswitch.front.process.NewsSource;
 import org.magnoliaswitch.front.process.RouteState;
-import org.magnoliaswitch.front.process.SendQuotas;
 import org.magnoliaswitch.front.process.ServerDirectory;
 import org.magnoliaswitch.front.process.ServerNotices;
+import org.magnoliaswitch.front.process.ServerQuotas;
+import org.magnoliaswitch.front.process.StateSource;
+import org.magnoliaswitch.front.process.StateSync;
 import org.magnoliaswitch.front.request.FrontDispatcher;
 import org.magnoliaswitch.front.version.HeaderNames;
 import org.magnoliaswitch.front.version.RouteTable;
@@ -43,7 +43,7 @@
    *
    * @param source makes the source of configuration and discovery
    */
-  public static Front start(FrontSettings settings, HeaderNames names, NewsSource.Factory source) {
+  public static Front start(FrontSettings settings, HeaderNames names, StateSource.Factory source) {
     Clocks clocks = Clocks.system();
     EventLog log = new EventLog(clocks);
     FrontMetrics metrics = new FrontMetrics();
@@ -53,9 +53,9 @@
     ServerConnector connector = new ServerConnector(requests, clocks, names);
     AtomicReference<RouteTable> routes = new AtomicReference<>(RouteTable.EMPTY);
     InstanceCount instances = new InstanceCount(ASSUMED_INSTANCES, clocks);
-    ColdSends coldSends = new ColdSends(settings, clocks, routes, instances);
+    ColdServerQuotas coldServers = new ColdServerQuotas(settings, clocks, routes, instances);
     ServerDirectory servers =
-        new ServerDirectory(connector, clocks, log, settings, instances, coldSends);
+        new ServerDirectory(connector, clocks, log, settings, instances, coldServers);
     CrashWatch crashes = new CrashWatch(clocks);
     new CrashLog(crashes, log, metrics);
     Environment environment =
@@ -68,16 +68,17 @@
             routes,
             new Freshness(),
             servers,
-            new RouteState(random, settings.repeats()),
+            new RouteState(random, settings.retryBudget()),
             instances,
-            new SendQuotas(settings, clocks, instances, coldSends, servers::part),
+            new ServerQuotas(settings, clocks, instances, coldServers, servers::subsetShare),
             new ServerNotices(servers, clocks, log, metrics),
             log,
             metrics,
             crashes);
     KnownState knownState = new KnownState(routes, servers, requests, log);
-    News news = new News(environment, knownState, control, source.create(control, log, metrics));
-    news.start();
+    StateSync stateSync =
+        new StateSync(environment, knownState, control, source.create(control, log, metrics));
+    stateSync.start();
     Front front = new Front(environment, knownState, FrontDispatcher::new);
     front.start();
     return front;
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerNotices.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerNotices.java
@@ -35,7 +35,7 @@
   }
 
   /** Takes the notice in the answer to a health check or to a request that was turned away. */
-  public void heard(ServerState server, ServerNotice notice) {
+  public void received(ServerState server, ServerNotice notice) {
     Before before = new Before(server.backpressure());
     server.backpressure().take(notice, clocks.nanos());
     taken(server, notice, before);
@@ -75,7 +75,7 @@
 
   private EventLog.Line tell(String event, ServerState server) {
     metrics.count("server.notices", server.entry().service(), event);
-    return log.belief(event)
+    return log.stateChange(event)
         .add("server", server.entry().id())
         .add("service", server.entry().service());
   }
--- a/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
@@ -122,7 +122,7 @@
             SUPERSEDED_GRACE_MILLIS,
             () -> {
               if (!ended) {
-                environment.servers().failed(pool.state(), "never_answered");
+                environment.servers().recordFailure(pool.state(), "never_answered");
                 cancel();
               }
             });
@@ -137,7 +137,7 @@
       cancel();
       return;
     }
-    environment.servers().failed(pool.state(), "timeout");
+    environment.servers().recordFailure(pool.state(), "timeout");
     if (idempotent) {
       cancel();
     } else {
@@ -160,7 +160,7 @@
   private void handleConnectFailure(Throwable cause) {
     if (!ended) {
       end();
-      environment.servers().unreachable(pool.state());
+      environment.servers().recordUnreachable(pool.state());
       exchange.unreachable(this, cause.getClass().getSimpleName());
     }
   }
@@ -208,7 +208,7 @@
     }
     environment
         .log()
-        .routine("send")
+        .success("send")
         .add("request", requestId)
         .add("server", serverId())
         .add("left_ms", remainingMillis)
@@ -234,7 +234,7 @@
     switch (reply) {
       case ServerReply.Whole whole -> handleAnswer(whole);
       case ServerReply.Broken broken -> {
-        environment.servers().failed(pool.state(), "broken");
+        environment.servers().recordFailure(pool.state(), "broken");
         exchange.crashDetector().connectionBroken(pool, trial);
         exchange.broken(this, broken.reason());
       }
@@ -246,11 +246,11 @@
     int status = answer.status().code();
     if (status == HttpResponseStatus.MISDIRECTED_REQUEST.code()) {
       pool.state().markGone();
-      environment.log().belief("server_replaced").add("server", serverId()).write();
+      environment.log().stateChange("server_replaced").add("server", serverId()).write();
       exchange.rejected(this, status);
     } else if (answer.headers().contains(environment.names().notExecuted())) {
-      environment.notices().heard(pool.state(), notice(answer));
-      environment.servers().failed(pool.state(), "rejected");
+      environment.notices().received(pool.state(), notice(answer));
+      environment.servers().recordFailure(pool.state(), "rejected");
       exchange.rejected(this, status);
     } else {
       environment.notices().answered(pool.state(), notice(answer), sentNanos);
@@ -266,7 +266,7 @@
 
   private void recordResult(int status) {
     if (status >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code()) {
-      environment.servers().failed(pool.state(), "error");
+      environment.servers().recordFailure(pool.state(), "error");
       return;
     }
     exchange.recordLatency(
--- a/front/src/main/java/org/magnoliaswitch/front/request/CallerTimeout.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/CallerTimeout.java
@@ -26,7 +26,7 @@
     if (stated.isEmpty()) {
       return stated;
     }
-    return OptionalLong.of(state.fullPatienceNanos(route, stated.getAsLong()) - stated.getAsLong());
+    return OptionalLong.of(state.longestWaitNanos(route, stated.getAsLong()) - stated.getAsLong());
   }
 
   /** The timeout that the caller states; empty if there is none or if it is not a number. */
--- a/front/src/main/java/org/magnoliaswitch/front/request/CrashDetector.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/CrashDetector.java
@@ -48,7 +48,7 @@
     pool.findWhetherEnded(
         crashed -> {
           if (crashed) {
-            environment.servers().unreachable(pool.state());
+            environment.servers().recordUnreachable(pool.state());
             logCrash(server, trial);
           }
           crashes.lookedAt(server, crashed, trial);
@@ -58,7 +58,7 @@
   private void logCrash(String server, boolean trial) {
     environment
         .log()
-        .trouble("server_ended")
+        .failure("server_ended")
         .add("server", server)
         .add("request", requestId)
         .add("identity", crashes.identities().content().toString())
--- a/front/src/main/java/org/magnoliaswitch/front/request/LoadProber.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/LoadProber.java
@@ -81,7 +81,7 @@
         ProbeShare.perSecond(
             environment.settings().probesPerServer(),
             environment.instances().count(),
-            environment.servers().part(pool.state().entry().service()));
+            environment.servers().subsetShare(pool.state().entry().service()));
     return limits
         .computeIfAbsent(pool.state(), server -> new RateLimit(BURST, now))
         .take(perSecond, now);
@@ -116,7 +116,7 @@
     }
 
     private void handleConnectFailure(ServerPool pool) {
-      environment.servers().unreachable(pool.state());
+      environment.servers().recordUnreachable(pool.state());
       probeEnded();
     }
 
@@ -196,8 +196,8 @@
         ended = true;
         environment.metrics().count("probes", service(), "silent");
         connection.abandon();
-        environment.servers().failed(pool.state(), "probe_silent");
-        environment.log().trouble("probe_silent").add("server", pool.state().entry().id()).write();
+        environment.servers().recordFailure(pool.state(), "probe_silent");
+        environment.log().failure("probe_silent").add("server", pool.state().entry().id()).write();
         round.probeEnded();
       }
     }
@@ -221,13 +221,13 @@
         pool.state().markGone();
         environment
             .log()
-            .belief("server_replaced")
+            .stateChange("server_replaced")
             .add("server", pool.state().entry().id())
             .add("found", id)
             .write();
         return;
       }
-      environment.notices().heard(pool.state(), NoticeHeaders.read(answer, environment.names()));
+      environment.notices().received(pool.state(), NoticeHeaders.read(answer, environment.names()));
       recordWarmup(answer.headers().get(environment.names().warmupLeft()));
       String load = answer.headers().get(environment.names().load());
       if (load == null) {
--- a/front/src/main/java/org/magnoliaswitch/front/request/RequestReport.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RequestReport.java
@@ -35,7 +35,7 @@
     environment.metrics().count("attempts", service, event);
     environment
         .log()
-        .trouble(event)
+        .failure(event)
         .add("request", requestId)
         .add("service", service)
         .add("server", server)
@@ -52,7 +52,7 @@
     environment.metrics().count("attempts", service, "broken");
     environment
         .log()
-        .trouble("broken")
+        .failure("broken")
         .add("request", requestId)
         .add("service", service)
         .add("server", server)
@@ -65,7 +65,7 @@
   void requestQueued(String service, RequestTimes times, double limitNanos, int queueLength) {
     environment
         .log()
-        .routine("wait")
+        .success("wait")
         .add("request", requestId)
         .add("service", service)
         .add("servers", environment.servers().of(service).size())
@@ -82,7 +82,7 @@
     environment.metrics().count("attempts", service, "overdue");
     environment
         .log()
-        .routine("overdue")
+        .success("overdue")
         .add("request", requestId)
         .add("service", service)
         .add("server", server)
@@ -95,7 +95,7 @@
     environment.metrics().count("attempts", service, reason);
     environment
         .log()
-        .trouble("not_repeated")
+        .failure("not_repeated")
         .add("request", requestId)
         .add("service", service)
         .add("reason", reason)
@@ -112,7 +112,7 @@
   void requestRefused(String service, String reason, long waitedNanos, long retryAfterNanos) {
     environment
         .log()
-        .trouble("refused")
+        .failure("refused")
         .add("request", requestId)
         .add("service", service)
         .add("reason", reason)
@@ -146,7 +146,7 @@
       long objectiveRemainingNanos) {
     environment.metrics().count("requests", service, outcome);
     EventLog log = environment.log();
-    EventLog.Line line = outcome.equals(ANSWERED) ? log.routine("end") : log.trouble("end");
+    EventLog.Line line = outcome.equals(ANSWERED) ? log.success("end") : log.failure("end");
     line.add("request", requestId)
         .add("route", route)
         .add("service", service)
--- a/front/src/main/java/org/magnoliaswitch/front/request/RoutedExchange.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RoutedExchange.java
@@ -281,8 +281,8 @@
     LatencyBaseline baseline = environment.routeState().baseline(route);
     placement.offerCapacity(server);
     environment.metrics().latency(service, tookNanos);
-    environment.servers().succeeded(server, tookNanos / (baseline.nanos() * slowness));
-    baseline.learn(tookNanos / slowness);
+    environment.servers().recordSuccess(server, tookNanos / (baseline.nanos() * slowness));
+    baseline.update(tookNanos / slowness);
   }
 
   /**
