--- /dev/null
+++ b/front/src/main/java/org/magnoliaswitch/front/process/DiscoveryReconciler.java
@@ -0,0 +1,105 @@
+package org.magnoliaswitch.front.process;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.OptionalLong;
+import java.util.concurrent.TimeUnit;
+import org.magnoliaswitch.front.version.ServerEntry;
+import org.magnoliaswitch.front.version.ServerList;
+
+/**
+ * Decides which backend servers exist from a series of discovery reads, some of which fail.
+ *
+ * <p>While the store is unavailable, entries of live servers expire, and right after its recovery a
+ * read lists few servers or none. Trusting that read would leave no server to send to, so missing
+ * entries are retained until live servers have had time to register again; an entry that is still
+ * missing then is dropped. Outside of outages a missing entry is dropped at once.
+ */
+public final class DiscoveryReconciler {
+  /**
+   * How long missing entries are retained: live servers are registered again within two seconds of
+   * the store's recovery.
+   */
+  static final long RETENTION_NANOS = TimeUnit.MILLISECONDS.toNanos(2_200);
+
+  /** A longer gap between two reads may hide an outage during which entries expired. */
+  static final long OUTAGE_GAP_NANOS = TimeUnit.SECONDS.toNanos(3);
+
+  private Map<String, ServerEntry> current = Map.of();
+  private boolean hasRead;
+  private boolean failing;
+  private long lastReadNanos;
+  private long retainUntilNanos;
+  private boolean retaining;
+  private boolean adoptedSince;
+
+  /** Records that a read failed. */
+  public void readFailed() {
+    failing = true;
+  }
+
+  /** Merges a read with the current servers and returns the list to use. */
+  public ServerList reconcile(ServerList list, long nowNanos) {
+    boolean outage = failing || nowNanos - lastReadNanos > OUTAGE_GAP_NANOS;
+    if (hasRead && outage) {
+      retaining = true;
+      retainUntilNanos = nowNanos + RETENTION_NANOS;
+    }
+    if (retaining && nowNanos - retainUntilNanos >= 0) {
+      retaining = false;
+    }
+    failing = false;
+    adoptedSince = false;
+    hasRead = true;
+    lastReadNanos = nowNanos;
+    Map<String, ServerEntry> merged = new HashMap<>(list.servers());
+    keepLaterIncarnations(merged);
+    if (retaining) {
+      current.forEach(
+          (id, entry) -> {
+            if (!entry.draining()) {
+              merged.putIfAbsent(id, entry);
+            }
+          });
+    }
+    current = Map.copyOf(merged);
+    // A store without changes later returns the list without the retained entries under the same
+    // version. That list must count as newer than this one, or departed servers would receive
+    // requests until another entry changes.
+    long version = retaining ? list.version() - 1 : list.version();
+    return new ServerList(version, merged);
+  }
+
+  /**
+   * Returns the time until missing entries are no longer retained; empty while none are retained or
+   * if a peer's list has been adopted since. A read is due at that time: delayed until the next
+   * regular read, a server that left during the outage would receive requests for that much longer.
+   */
+  public OptionalLong untilRetentionEndsNanos(long nowNanos) {
+    return retaining && !adoptedSince
+        ? OptionalLong.of(Math.max(0, retainUntilNanos - nowNanos))
+        : OptionalLong.empty();
+  }
+
+  /**
+   * Keeps the entries of later incarnations. A stalled process may write its entry once more after
+   * the server has restarted under the same id; accepting that entry would bring back the replaced
+   * incarnation for the duration of a heartbeat.
+   */
+  private void keepLaterIncarnations(Map<String, ServerEntry> merged) {
+    merged.replaceAll(
+        (id, entry) -> {
+          ServerEntry known = current.get(id);
+          return known != null && known.replaces(entry) ? known : entry;
+        });
+  }
+
+  /** Adopts the list of a peer, which counts as an own read. */
+  public void adopt(ServerList list, long nowNanos) {
+    current = list.servers();
+    adoptedSince = true;
+    hasRead = true;
+    failing = false;
+    lastReadNanos = nowNanos;
+  }
+}
--- /dev/null
+++ b/front/src/test/java/org/magnoliaswitch/front/process/DiscoveryReconcilerTest.java
@@ -0,0 +1,149 @@
+package org.magnoliaswitch.front.process;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
+import org.magnoliaswitch.front.testing.Servers;
+import org.magnoliaswitch.front.version.ServerEntry;
+import org.magnoliaswitch.front.version.ServerList;
+import org.testng.annotations.Test;
+
+/** Tests which servers exist after failed reads. */
+public final class DiscoveryReconcilerTest {
+  private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
+
+  private static ServerList list(long version, String... ids) {
+    Map<String, ServerEntry> servers = new HashMap<>();
+    for (String id : ids) {
+      servers.put(id, Servers.entry(id, id.startsWith("draining")));
+    }
+    return new ServerList(version, servers);
+  }
+
+  private static Set<String> read(DiscoveryReconciler reconciler, long now, ServerList list) {
+    return reconciler.reconcile(list, now).servers().keySet();
+  }
+
+  /** The store is available. */
+  public static final class Ordinary {
+    @Test
+    public void missingEntryIsDroppedAtOnce() {
+      DiscoveryReconciler reconciler = new DiscoveryReconciler();
+      read(reconciler, 0, list(1, "a", "b"));
+      assertEquals(read(reconciler, SECOND, list(2, "a")), Set.of("a"));
+    }
+  }
+
+  /** Servers that restart under the same id. */
+  public static final class Restarts {
+    private static ServerList list(long version, ServerEntry entry) {
+      return new ServerList(version, Map.of(entry.id(), entry));
+    }
+
+    /** Guards against an entry that the old process writes after the new one has registered. */
+    @Test
+    public void laterIncarnationIsNotReplacedByEarlierOne() {
+      DiscoveryReconciler reconciler = new DiscoveryReconciler();
+      ServerEntry later = Servers.restarted(Servers.entry("a", false));
+      reconciler.reconcile(list(1, later), 0);
+      ServerList read = reconciler.reconcile(list(2, Servers.entry("a", true)), SECOND);
+      assertEquals(read.servers().get("a"), later);
+    }
+
+    /**
+     * Guards against a retained entry that replaces a newer one: the server has restarted during
+     * the outage.
+     */
+    @Test
+    public void newIncarnationIsUsedAfterOutage() {
+      DiscoveryReconciler reconciler = new DiscoveryReconciler();
+      reconciler.reconcile(list(1, Servers.entry("a", false)), 0);
+      reconciler.readFailed();
+      ServerEntry later = Servers.restarted(Servers.entry("a", false));
+      assertEquals(reconciler.reconcile(list(9, later), 10 * SECOND).servers().get("a"), later);
+    }
+  }
+
+  /** After an outage of the store. */
+  public static final class AfterOutage {
+    /**
+     * Guards against rejecting all requests after an outage of the store, in which the entries of
+     * live servers have expired.
+     */
+    @Test
+    public void expiredEntriesAreRetainedUntilServersCouldRegister() {
+      DiscoveryReconciler reconciler = new DiscoveryReconciler();
+      read(reconciler, 0, list(1, "a", "b"));
+      reconciler.readFailed();
+      assertEquals(read(reconciler, 10 * SECOND, list(9)), Set.of("a", "b"));
+      assertEquals(read(reconciler, 11 * SECOND, list(10, "a")), Set.of("a", "b"));
+      assertEquals(read(reconciler, 13 * SECOND, list(11, "a")), Set.of("a"));
+    }
+
+    /**
+     * Guards against requests to a departed server after an outage. The version of the store does
+     * not change while its entries stay the same, so the list without the server must count as
+     * newer than the one that retained it.
+     */
+    @Test
+    public void listWithoutRetainedEntriesIsNewerWithoutChangesInStore() {
+      DiscoveryReconciler reconciler = new DiscoveryReconciler();
+      read(reconciler, 0, list(1, "a", "b"));
+      reconciler.readFailed();
+      long retained = reconciler.reconcile(list(9, "a"), 10 * SECOND).version();
+      long dropped = reconciler.reconcile(list(9, "a"), 13 * SECOND).version();
+      assertTrue(dropped > retained, retained + " to " + dropped);
+    }
+
+    @Test
+    public void leavingServerIsNotRetained() {
+      DiscoveryReconciler reconciler = new DiscoveryReconciler();
+      read(reconciler, 0, list(1, "a", "draining-b"));
+      reconciler.readFailed();
+      assertEquals(read(reconciler, 10 * SECOND, list(9)), Set.of("a"));
+    }
+
+    /**
+     * Guards against requests to a server that left during an outage without announcing it. Its
+     * missing entry is retained, since it may just have expired; if the next read were only due at
+     * the regular time, the server would receive requests for nearly a second too long.
+     */
+    @Test
+    public void readIsDueWhenRetentionEnds() {
+      DiscoveryReconciler reconciler = new DiscoveryReconciler();
+      assertTrue(reconciler.untilRetentionEndsNanos(0).isEmpty());
+      read(reconciler, 0, list(1, "a", "b"));
+      reconciler.readFailed();
+      read(reconciler, 10 * SECOND, list(9, "a"));
+      assertEquals(
+          reconciler.untilRetentionEndsNanos(11 * SECOND).orElseThrow(),
+          DiscoveryReconciler.RETENTION_NANOS - SECOND);
+      long end = 10 * SECOND + DiscoveryReconciler.RETENTION_NANOS;
+      assertEquals(reconciler.untilRetentionEndsNanos(end + 1).orElseThrow(), 0);
+      assertEquals(read(reconciler, end, list(9, "a")), Set.of("a"));
+      assertTrue(reconciler.untilRetentionEndsNanos(end).isEmpty());
+    }
+
+    /** Guards against a superfluous read after a peer has sent the list that it read. */
+    @Test
+    public void noReadIsDueAfterPeerListWasAdopted() {
+      DiscoveryReconciler reconciler = new DiscoveryReconciler();
+      read(reconciler, 0, list(1, "a", "b"));
+      reconciler.readFailed();
+      read(reconciler, 10 * SECOND, list(9, "a"));
+      reconciler.adopt(list(10, "a"), 11 * SECOND);
+      assertTrue(reconciler.untilRetentionEndsNanos(11 * SECOND).isEmpty());
+    }
+
+    @Test
+    public void longGapBetweenReadsCountsAsOutage() {
+      DiscoveryReconciler reconciler = new DiscoveryReconciler();
+      read(reconciler, 0, list(1, "a"));
+      assertEquals(read(reconciler, 60 * SECOND, list(9)), Set.of("a"));
+    }
+  }
+}
--- a/front/src/test/java/org/magnoliaswitch/front/request/EvacuationTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/EvacuationTest.java
@@ -157,7 +157,7 @@
   public void routesOfAnotherRegionUseNoServerHere() throws IOException {
     try (ScriptedServer server = new ScriptedServer("a", SUCCEED)) {
       Environment environment =
-          TestEnvironment.with(IDEMPOTENT_ROUTE.within(Set.of("other region")), server);
+          TestEnvironment.with(IDEMPOTENT_ROUTE.withRegions(Set.of("other region")), server);
       assertEquals(Requests.ask(environment).join().status().code(), 503);
       assertEquals(server.received().size(), 0);
       environment.loop().stop();
