--- a/bench/src/main/java/org/magnoliaswitch/bench/model/FrontNode.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/FrontNode.java
@@ -6,19 +6,19 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.magnoliaswitch.front.load.Fallback;
+import org.magnoliaswitch.front.load.CallerRetry;
 import org.magnoliaswitch.front.load.LoadSample;
 import org.magnoliaswitch.front.load.Mechanism;
 import org.magnoliaswitch.front.load.PendingQueue;
 import org.magnoliaswitch.front.load.Placement;
 import org.magnoliaswitch.front.load.PlacementContext;
 import org.magnoliaswitch.front.load.ProbeShare;
-import org.magnoliaswitch.front.load.RateLimit;
 import org.magnoliaswitch.front.load.ServerState;
 import org.magnoliaswitch.front.load.ServerSubset;
 import org.magnoliaswitch.front.load.ServiceLoad;
 import org.magnoliaswitch.front.load.SharedRetryBudget;
 import org.magnoliaswitch.front.load.Timeliness;
+import org.magnoliaswitch.front.load.TokenBucket;
 import org.magnoliaswitch.front.process.RouteState;
 
 /** What one instance knows, with the front's own classes. */
@@ -35,7 +35,7 @@
   private final Map<String, List<ServerState>> states = new HashMap<>();
   private final Set<ServerState> unreachable = new HashSet<>();
   private final Map<ServerState, ModelServer> models = new HashMap<>();
-  private final Map<ServerState, RateLimit> probes = new HashMap<>();
+  private final Map<ServerState, TokenBucket> probes = new HashMap<>();
   private final Map<ServerState, ModelPool> pools = new HashMap<>();
   private final PendingQueue<FrontExchange> pending;
 
@@ -65,7 +65,7 @@
     ServerState state = new ServerState(model.entry(), world.time().nanos());
     models.put(state, model);
     pools.put(state, new ModelPool(state, world));
-    probes.put(state, new RateLimit(PROBE_BURST, world.time().nanos()));
+    probes.put(state, new TokenBucket(PROBE_BURST, world.time().nanos()));
     return state;
   }
 
@@ -103,7 +103,7 @@
 
   /** Nobody listens at a server's address. */
   void unreachable(ServerState state) {
-    state.failed(world.time().nanos());
+    state.recordFailure(world.time().nanos());
     if (unreachable.add(state)) {
       String service = state.entry().service();
       states.put(service, subset(all.get(service)));
@@ -111,16 +111,16 @@
   }
 
   private List<ServerState> subset(List<ServerState> servers) {
-    if (!rules.mechanisms().on(Mechanism.SUBSET)) {
+    if (!rules.mechanisms().enabled(Mechanism.SUBSET)) {
       return servers;
     }
-    boolean replaced = rules.mechanisms().on(Mechanism.REPLACEMENTS);
+    boolean replaced = rules.mechanisms().enabled(Mechanism.REPLACEMENTS);
     return ServerSubset.withReplacements(servers, replaced ? unreachable : Set.of(), this::part);
   }
 
   private List<ServerState> part(List<ServerState> servers) {
     int size = rules.subset().size(servers.size(), world.deployment().instances());
-    return ServerSubset.of(
+    return ServerSubset.select(
         servers, size, ServerState::entry, "instance-" + index, World.dataCentre(index));
   }
 
@@ -147,7 +147,7 @@
     double perSecond =
         ProbeShare.perSecond(
             world.deployment().probesPerServer(), world.deployment().instances(), part);
-    return probes.get(state).take(perSecond, world.time().nanos());
+    return probes.get(state).tryTake(perSecond, world.time().nanos());
   }
 
   /** Takes what a health check or a rejection tells. */
@@ -162,8 +162,8 @@
   }
 
   private void sampled(ServerState state, LoadSample sample) {
-    state.sampled(sample, state.inFlight(), world.time().nanos());
-    routes.load(state.entry().service()).sampled(sample);
+    state.recordSample(sample, state.inFlight(), world.time().nanos());
+    routes.load(state.entry().service()).recordSample(sample);
   }
 
   double slowness(ServerState state) {
@@ -171,9 +171,9 @@
     return Placement.slowness(state, load, world.time().nanos());
   }
 
-  boolean mayRepeat(String service, Fallback fallback) {
+  boolean mayRepeat(String service, CallerRetry fallback) {
     return routes
         .budget(service)
-        .spend(fallback, world.deployment().instances(), world.time().nanos());
+        .trySpend(fallback, world.deployment().instances(), world.time().nanos());
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/ColdServerQuotas.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ColdServerQuotas.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.front.load.ColdShare;
-import org.magnoliaswitch.front.load.SenderDraw;
+import org.magnoliaswitch.front.load.SenderSelection;
 import org.magnoliaswitch.front.load.ServerState;
 import org.magnoliaswitch.front.version.RouteTable;
 import org.magnoliaswitch.front.version.Warmup;
@@ -40,7 +40,7 @@
 
   /** Whether this instance is selected as one of the senders to a server while it is cold. */
   public boolean selected(ServerState server) {
-    return share(server).mostPerSecond() > 0;
+    return share(server).maxPerSecond() > 0;
   }
 
   /** Whether the warm-up limits of a server permit a request now. */
@@ -51,7 +51,7 @@
     }
     boolean limited = routes.get().warmup(server.entry().service()).limited();
     // An instance that knows only a few others yet would compute far too large a share.
-    return (!limited || instances.settled()) && server.bears(share(server), now);
+    return (!limited || instances.settled()) && server.withinColdShare(share(server), now);
   }
 
   /**
@@ -68,7 +68,7 @@
   }
 
   private ColdShare share(ColdServer server) {
-    SenderDraw draw = instances.draw(settings.instance(), server.incarnation());
-    return ColdShare.of(server.warmup(), settings.coldServerBounds(), draw);
+    SenderSelection selection = instances.draw(settings.instance(), server.incarnation());
+    return ColdShare.of(server.warmup(), settings.coldServerBounds(), selection);
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/CrashArchive.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/CrashArchive.java
@@ -66,7 +66,7 @@
 
   /** Identifies a crash regardless of the instance that reported it. */
   private record CrashKey(RequestIdentity request, String server) {
-    static CrashKey of(CrashReport.Ended ended) {
+    static CrashKey of(CrashReport.Crashed ended) {
       return new CrashKey(ended.request(), ended.server());
     }
   }
@@ -90,9 +90,10 @@
   /** Queues the crashes that this instance has observed for writing. */
   void recordOwn(List<CrashReport> reports) {
     for (CrashReport report : reports) {
-      if (report instanceof CrashReport.Ended ended && pending.size() < MAX_PENDING) {
+      if (report instanceof CrashReport.Crashed ended && pending.size() < MAX_PENDING) {
         pending.add(CrashKey.of(ended));
-        boolean suspect = watch.table().standing(ended.request()) != SuspicionLevel.UNSUSPECTED;
+        boolean suspect =
+            watch.table().suspicionLevel(ended.request()) != SuspicionLevel.UNSUSPECTED;
         loop.afterMillis(suspect ? 0 : WRITE_DELAY_MILLIS, this::write);
       }
     }
@@ -126,10 +127,10 @@
   private void apply(List<CrashStore.StoredCrash> rows) {
     long now = clocks.millis();
     List<CrashReport> current = new ArrayList<>();
-    List<CrashReport.Ended> removable = new ArrayList<>();
+    List<CrashReport.Crashed> removable = new ArrayList<>();
     Set<CrashKey> foundNow = new HashSet<>();
     for (CrashStore.StoredCrash row : rows) {
-      CrashReport.Ended ended = row.crash();
+      CrashReport.Crashed ended = row.crash();
       boolean expired = now - row.epochMillis() > MAX_AGE_MILLIS;
       if (expired || watch.table().cleared(ended.request(), ended.server())) {
         removable.add(ended);
@@ -155,25 +156,25 @@
   private List<CrashReport> cleared(Set<CrashKey> foundNow) {
     Set<RequestIdentity> clearedRequests = new HashSet<>();
     for (CrashKey key : found) {
-      boolean counts = watch.table().end(key.request(), key.server()).isPresent();
+      boolean counts = watch.table().crash(key.request(), key.server()).isPresent();
       if (!foundNow.contains(key) && counts) {
         clearedRequests.add(key.request());
       }
     }
-    return clearedRequests.stream().map(watch.table()::clearanceOf).toList();
+    return clearedRequests.stream().map(watch.table()::clearanceFor).toList();
   }
 
   private void write() {
-    List<CrashReport.Ended> puts = writing ? List.of() : crashesToWrite();
+    List<CrashReport.Crashed> puts = writing ? List.of() : crashesToWrite();
     if (!puts.isEmpty()) {
       change(puts, List.of());
     }
   }
 
-  private List<CrashReport.Ended> crashesToWrite() {
-    List<CrashReport.Ended> puts = new ArrayList<>();
+  private List<CrashReport.Crashed> crashesToWrite() {
+    List<CrashReport.Crashed> puts = new ArrayList<>();
     for (CrashKey key : List.copyOf(pending)) {
-      Optional<CrashReport.Ended> counts = watch.table().end(key.request(), key.server());
+      Optional<CrashReport.Crashed> counts = watch.table().crash(key.request(), key.server());
       if (counts.isEmpty()) {
         pending.remove(key);
       } else if (puts.size() < MAX_ENTRIES) {
@@ -183,13 +184,13 @@
     return puts;
   }
 
-  private void change(List<CrashReport.Ended> puts, List<CrashReport.Ended> removals) {
+  private void change(List<CrashReport.Crashed> puts, List<CrashReport.Crashed> removals) {
     writing = true;
     store.change(puts, removals, confirmed -> changed(puts, removals, confirmed));
   }
 
   private void changed(
-      List<CrashReport.Ended> puts, List<CrashReport.Ended> removals, boolean confirmed) {
+      List<CrashReport.Crashed> puts, List<CrashReport.Crashed> removals, boolean confirmed) {
     writing = false;
     metrics.count("crash.store.calls", "", confirmed ? "confirmed" : "unconfirmed");
     log.stateChange("crash_archived")
--- a/front/src/main/java/org/magnoliaswitch/front/process/CrashStore.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/CrashStore.java
@@ -20,8 +20,8 @@
 
         @Override
         public void change(
-            Collection<CrashReport.Ended> puts,
-            Collection<CrashReport.Ended> removals,
+            Collection<CrashReport.Crashed> puts,
+            Collection<CrashReport.Crashed> removals,
             Consumer<Boolean> done) {
           done.accept(true);
         }
@@ -33,7 +33,7 @@
    * @param crash the crash as it was reported
    * @param epochMillis when it was written by the writer's clock, in milliseconds since the epoch
    */
-  record StoredCrash(CrashReport.Ended crash, long epochMillis) {}
+  record StoredCrash(CrashReport.Crashed crash, long epochMillis) {}
 
   /** Reads all stored crashes. */
   void read(Consumer<StateSource.Read<List<StoredCrash>>> listener);
@@ -43,7 +43,7 @@
    * unconfirmed change may have been applied; it is safe to repeat it.
    */
   void change(
-      Collection<CrashReport.Ended> puts,
-      Collection<CrashReport.Ended> removals,
+      Collection<CrashReport.Crashed> puts,
+      Collection<CrashReport.Crashed> removals,
       Consumer<Boolean> done);
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/Front.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/Front.java
@@ -87,12 +87,12 @@
     long grace = environment.settings().graceNanos() - RESERVE_NANOS;
     long unready = Math.min(UNREADY_NANOS, grace / 2);
     long deadline = environment.clocks().nanos() + grace;
-    loop.execute(callers::announceStop);
+    loop.execute(callers::startDraining);
     loop.after(unready, () -> drain(deadline, stopped));
   }
 
   private void drain(long deadline, Runnable stopped) {
-    callers.refuseNew();
+    callers.stopAccepting();
     boolean expired = environment.clocks().nanos() - deadline >= 0;
     if (callers.size() == 0 || expired) {
       environment.log().stateChange("stopped").add("open", callers.size()).write();
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerDirectory.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerDirectory.java
@@ -145,7 +145,7 @@
   public void recordUnreachable(ServerState state) {
     recordFailure(state, "unreachable");
     coldServers.assumeCold(state);
-    state.unreachable(clocks.nanos());
+    state.markUnreachable(clocks.nanos());
     replaceUnavailable();
   }
 
@@ -167,7 +167,7 @@
   public void recordFailure(ServerState state, String reason) {
     long now = clocks.nanos();
     boolean before = state.suspect(now);
-    state.failed(now);
+    state.recordFailure(now);
     if (!before && state.suspect(now)) {
       log.stateChange("server_suspect")
           .add("server", state.entry().id())
@@ -182,7 +182,7 @@
   public void recordSuccess(ServerState state, double ratioToExpected) {
     long now = clocks.nanos();
     boolean before = state.suspect(now);
-    state.succeeded(ratioToExpected, now);
+    state.recordSuccess(ratioToExpected, now);
     if (before && !state.suspect(now)) {
       log.stateChange("server_trusted")
           .add("server", state.entry().id())
@@ -237,7 +237,7 @@
 
   /** Stops all requests to a server, including queued requests that still hold its state. */
   private static void retire(ServerPool pool) {
-    pool.state().markGone();
+    pool.state().markRemoved();
     pool.closeIdle();
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerGroups.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerGroups.java
@@ -62,7 +62,7 @@
   /** Whether a server could not be reached recently or has asked this instance for a pause. */
   private boolean unavailable(ServerState server) {
     long now = clocks.nanos();
-    return server.unreachableLately(now) || server.backpressure().pauseLeftNanos(now) > 0;
+    return server.recentlyUnreachable(now) || server.backpressure().remainingPauseNanos(now) > 0;
   }
 
   /**
@@ -107,8 +107,8 @@
 
   private List<ServerPool> selected(List<ServerPool> pools) {
     Mechanisms mechanisms = settings.mechanisms();
-    Set<ServerPool> avoided = mechanisms.on(Mechanism.REPLACEMENTS) ? unavailable : Set.of();
-    return mechanisms.on(Mechanism.SUBSET)
+    Set<ServerPool> avoided = mechanisms.enabled(Mechanism.REPLACEMENTS) ? unavailable : Set.of();
+    return mechanisms.enabled(Mechanism.SUBSET)
         ? ServerSubset.withReplacements(pools, avoided, this::subset)
         : pools;
   }
@@ -117,8 +117,8 @@
     int size =
         instances.settled()
             ? ServerSubset.size(pools.size(), instances.count())
-            : ServerSubset.sizeAtStart(pools.size());
-    return ServerSubset.of(
+            : ServerSubset.initialSize(pools.size());
+    return ServerSubset.select(
         pools, size, pool -> pool.state().entry(), settings.instance(), settings.dataCentre());
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerNotices.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerNotices.java
@@ -30,14 +30,14 @@
    */
   public void answered(ServerState server, ServerNotice notice, long sentNanos) {
     Before before = new Before(server.backpressure());
-    server.backpressure().answered(notice, sentNanos, clocks.nanos());
+    server.backpressure().recordAnswer(notice, sentNanos, clocks.nanos());
     handleChanges(server, notice, before);
   }
 
   /** Applies the notice in the response to a health check or to a rejected request. */
   public void received(ServerState server, ServerNotice notice) {
     Before before = new Before(server.backpressure());
-    server.backpressure().take(notice, clocks.nanos());
+    server.backpressure().recordNotice(notice, clocks.nanos());
     handleChanges(server, notice, before);
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerQuotas.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerQuotas.java
@@ -5,7 +5,7 @@
 import java.util.function.ToDoubleFunction;
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.front.load.RateLimitShare;
-import org.magnoliaswitch.front.load.SenderDraw;
+import org.magnoliaswitch.front.load.SenderSelection;
 import org.magnoliaswitch.front.load.ServerState;
 
 /**
@@ -71,7 +71,7 @@
    * request.
    */
   private long requestedWaitNanos(ServerState server) {
-    long pause = server.backpressure().pauseLeftNanos(clocks.nanos());
+    long pause = server.backpressure().remainingPauseNanos(clocks.nanos());
     return Math.max(pause, limitWaitNanos(server));
   }
 
@@ -84,13 +84,13 @@
     long unsettled = instances.untilSettledNanos();
     return unsettled > 0
         ? unsettled
-        : server.waitNanos(share(server, perSecond.getAsDouble()), clocks.nanos());
+        : server.nanosUntilAllowed(share(server, perSecond.getAsDouble()), clocks.nanos());
   }
 
   private RateLimitShare share(ServerState server, double perSecond) {
     RateLimitShare share = shares.get(limit(server, perSecond));
     boolean unconfirmed = server.backpressure().limitAgeNanos(clocks.nanos()) > LIMIT_TRIAL_NANOS;
-    return unconfirmed && share.mostInSpan() == 0 ? TRIAL : share;
+    return unconfirmed && share.maxPerWindow() == 0 ? TRIAL : share;
   }
 
   private Limit limit(ServerState server, double perSecond) {
@@ -99,7 +99,7 @@
   }
 
   private RateLimitShare share(Limit limit) {
-    SenderDraw draw = instances.draw(settings.instance(), limit.incarnation());
-    return RateLimitShare.of(limit.perSecond(), draw, limit.subsetShare());
+    SenderSelection selection = instances.draw(settings.instance(), limit.incarnation());
+    return RateLimitShare.of(limit.perSecond(), selection, limit.subsetShare());
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/ShareCache.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ShareCache.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Function;
-import org.magnoliaswitch.front.load.InstancePlace;
+import org.magnoliaswitch.front.load.InstanceIndex;
 
 /**
  * Caches this instance's shares of limits on all instances together, until the number of instances
@@ -23,7 +23,7 @@
   private Basis basis = new Basis(0, Optional.empty());
 
   /** The state of the instances that all shares depend on. */
-  private record Basis(int instances, Optional<InstancePlace> place) {}
+  private record Basis(int instances, Optional<InstanceIndex> place) {}
 
   ShareCache(InstanceCount instances, Function<K, S> compute) {
     this.instances = instances;
--- a/front/src/test/java/org/magnoliaswitch/front/process/ColdServerQuotasTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ColdServerQuotasTest.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
 import org.magnoliaswitch.front.load.ServerState;
-import org.magnoliaswitch.front.testing.PausedClock;
+import org.magnoliaswitch.front.testing.ManualClock;
 import org.magnoliaswitch.front.testing.Servers;
 import org.magnoliaswitch.front.testing.TestEnvironment;
 import org.magnoliaswitch.front.version.CallerLimits;
@@ -27,7 +27,7 @@
   /** Requests per second of one of two instances. */
   private static final int SHARE = 3;
 
-  private PausedClock time;
+  private ManualClock time;
   private InstanceCount instances;
   private ColdServerQuotas coldServers;
   private ServerState server;
@@ -37,7 +37,7 @@
    */
   @BeforeMethod
   public void createQuotas() {
-    time = new PausedClock();
+    time = new ManualClock();
     instances = new InstanceCount(2, time.clocks());
     coldServers = quotas(new Warmup(SPAN, 2 * SHARE));
     server = new ServerState(Servers.entry("a", false), time.read());
@@ -58,7 +58,7 @@
     int sent = 0;
     for (long passed = 0; passed < spanNanos; passed += MILLI) {
       if (coldServers.allowed(server)) {
-        server.written(time.read());
+        server.recordWrite(time.read());
         sent++;
       }
       time.advance(MILLI);
@@ -85,8 +85,8 @@
   @Test
   public void requestsSentBeforeServerBecameColdCount() {
     time.advance(10 * SECOND);
-    server.written(time.read());
-    server.written(time.read());
+    server.recordWrite(time.read());
+    server.recordWrite(time.read());
     server.assumeCold(SPAN, time.read());
     assertEquals(sendAll(SECOND), SHARE - 2);
   }
@@ -135,7 +135,7 @@
     time.advance(10 * SECOND);
     coldServers.assumeCold(server);
     assertTrue(server.cold(time.read()));
-    server.warmupTold(0, time.read());
+    server.recordWarmup(0, time.read());
     assertFalse(server.cold(time.read()));
   }
 
@@ -145,7 +145,7 @@
    */
   @Test
   public void discoveryEntryDoesNotEndWarmup() {
-    server.warmupTold(SPAN, time.read());
+    server.recordWarmup(SPAN, time.read());
     server.update(Servers.entry("a", false), time.read());
     assertTrue(server.cold(time.read()));
   }
--- a/front/src/test/java/org/magnoliaswitch/front/process/CrashArchiveTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/CrashArchiveTest.java
@@ -28,15 +28,15 @@
 public final class CrashArchiveTest {
   private static final RequestIdentity REQUEST = new RequestIdentity(1, 2);
 
-  private Environment environment = TestEnvironment.unknowing();
+  private Environment environment = TestEnvironment.withoutConfiguration();
   private Store store = new Store();
   private CrashArchive archive = archive();
 
   /** A store whose rows a test sets and whose changes it inspects. */
   private static final class Store implements CrashStore {
     private final List<StoredCrash> rows = new ArrayList<>();
-    private final BlockingQueue<List<CrashReport.Ended>> puts = new LinkedBlockingQueue<>();
-    private final BlockingQueue<List<CrashReport.Ended>> removals = new LinkedBlockingQueue<>();
+    private final BlockingQueue<List<CrashReport.Crashed>> puts = new LinkedBlockingQueue<>();
+    private final BlockingQueue<List<CrashReport.Crashed>> removals = new LinkedBlockingQueue<>();
     private final AtomicBoolean confirms = new AtomicBoolean(true);
 
     @Override
@@ -46,8 +46,8 @@
 
     @Override
     public void change(
-        Collection<CrashReport.Ended> added,
-        Collection<CrashReport.Ended> removed,
+        Collection<CrashReport.Crashed> added,
+        Collection<CrashReport.Crashed> removed,
         Consumer<Boolean> done) {
       // The test may change the result as soon as it has received the puts, so it is read before.
       boolean confirmed = confirms.get();
@@ -68,7 +68,7 @@
   @BeforeMethod
   public void createArchive() {
     environment.loop().stop();
-    environment = TestEnvironment.unknowing();
+    environment = TestEnvironment.withoutConfiguration();
     store = new Store();
     archive = archive();
   }
@@ -78,8 +78,8 @@
     environment.loop().stop();
   }
 
-  private static CrashReport.Ended ended(String server) {
-    return new CrashReport.Ended(REQUEST, server, false);
+  private static CrashReport.Crashed ended(String server) {
+    return new CrashReport.Crashed(REQUEST, server, false);
   }
 
   private void onLoop(Runnable task) throws InterruptedException {
@@ -89,7 +89,7 @@
     done.await();
   }
 
-  private void observe(CrashReport.Ended... reports) throws InterruptedException {
+  private void observe(CrashReport.Crashed... reports) throws InterruptedException {
     onLoop(
         () -> {
           environment.crashes().heard(List.of(reports), CrashWatch.Source.OWN);
@@ -97,7 +97,7 @@
         });
   }
 
-  private CrashStore.StoredCrash now(CrashReport.Ended ended) {
+  private CrashStore.StoredCrash now(CrashReport.Crashed ended) {
     return new CrashStore.StoredCrash(ended, environment.clocks().millis());
   }
 
@@ -116,7 +116,7 @@
     observe(ended("a"));
     environment.crashes().answered(List.of(REQUEST), "b", environment.clocks().nanos());
     RequestIdentity other = new RequestIdentity(3, 4);
-    CrashReport.Ended later = new CrashReport.Ended(other, "c", false);
+    CrashReport.Crashed later = new CrashReport.Crashed(other, "c", false);
     observe(later);
     assertEquals(store.puts.take(), List.of(later));
   }
@@ -126,7 +126,7 @@
   public void unconfirmedWriteIsRepeated() throws InterruptedException {
     store.confirms.set(false);
     observe(ended("a"), ended("b"));
-    List<CrashReport.Ended> first = store.puts.take();
+    List<CrashReport.Crashed> first = store.puts.take();
     store.confirms.set(true);
     assertEquals(store.puts.take(), first);
   }
@@ -139,9 +139,9 @@
   public void startedInstanceReadsCrashesFromStore() throws InterruptedException {
     store.rows.add(now(ended("a")));
     store.rows.add(now(ended("b")));
-    store.rows.add(now(new CrashReport.Ended(REQUEST, "c", true)));
+    store.rows.add(now(new CrashReport.Crashed(REQUEST, "c", true)));
     onLoop(() -> archive.read());
-    assertEquals(environment.crashes().table().standing(REQUEST), SuspicionLevel.CONFIRMED);
+    assertEquals(environment.crashes().table().suspicionLevel(REQUEST), SuspicionLevel.CONFIRMED);
   }
 
   /** An operator removes the rows of a request after its servers have been fixed. */
@@ -152,7 +152,7 @@
     onLoop(() -> archive.read());
     store.rows.clear();
     onLoop(() -> archive.read());
-    assertEquals(environment.crashes().table().endsUnder(REQUEST), Set.of());
+    assertEquals(environment.crashes().table().serversCrashedDuring(REQUEST), Set.of());
   }
 
   /**
@@ -164,19 +164,19 @@
     observe(ended("a"), ended("b"));
     assertTrue(store.puts.take().size() > 0);
     onLoop(() -> archive.read());
-    assertEquals(environment.crashes().table().endsUnder(REQUEST), Set.of("a", "b"));
+    assertEquals(environment.crashes().table().serversCrashedDuring(REQUEST), Set.of("a", "b"));
   }
 
   @Test
   public void clearedAndExpiredRowsAreRemoved() throws InterruptedException {
     observe(ended("a"), ended("b"));
     environment.crashes().answered(List.of(REQUEST), "c", environment.clocks().nanos());
-    CrashReport.Ended old = new CrashReport.Ended(new RequestIdentity(5, 6), "d", false);
+    CrashReport.Crashed old = new CrashReport.Crashed(new RequestIdentity(5, 6), "d", false);
     long yesterday = environment.clocks().millis() - TimeUnit.DAYS.toMillis(1) - 1;
     store.rows.add(now(ended("a")));
     store.rows.add(new CrashStore.StoredCrash(old, yesterday));
     onLoop(() -> archive.read());
     assertEquals(store.removals.take(), List.of(ended("a"), old));
-    assertEquals(environment.crashes().table().endsUnder(old.request()), Set.of());
+    assertEquals(environment.crashes().table().serversCrashedDuring(old.request()), Set.of());
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/process/ServerDirectoryTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ServerDirectoryTest.java
@@ -19,7 +19,7 @@
 import org.magnoliaswitch.front.load.ServerNotice;
 import org.magnoliaswitch.front.load.ServerState;
 import org.magnoliaswitch.front.loop.Loop;
-import org.magnoliaswitch.front.testing.PausedClock;
+import org.magnoliaswitch.front.testing.ManualClock;
 import org.magnoliaswitch.front.testing.Servers;
 import org.magnoliaswitch.front.testing.TestEnvironment;
 import org.magnoliaswitch.front.testing.TestHeaders;
@@ -108,7 +108,7 @@
    */
   @Test
   public void allServersOfSmallServiceAreUsedRightAfterStart() {
-    ServerDirectory directory = directory(new PausedClock().clocks(), Warmup.UNLIMITED);
+    ServerDirectory directory = directory(new ManualClock().clocks(), Warmup.UNLIMITED);
     ServerEntry[] entries = new ServerEntry[14];
     for (int i = 0; i < entries.length; i++) {
       entries[i] = Servers.entry("s" + i, false);
@@ -124,7 +124,7 @@
 
     private static final int INSTANCES = 100;
 
-    private PausedClock time = new PausedClock();
+    private ManualClock time = new ManualClock();
     private ServerDirectory directory = directory();
 
     private List<ServerState> used() {
@@ -133,7 +133,7 @@
 
     @BeforeMethod
     public void createDirectory() {
-      time = new PausedClock();
+      time = new ManualClock();
       directory = directory(time.clocks(), Warmup.UNLIMITED, INSTANCES);
       time.advance(10 * SECOND);
       ServerEntry[] entries = new ServerEntry[SERVERS];
@@ -183,7 +183,7 @@
       List<ServerState> before = used();
       List<ServerState> paused = before.subList(0, before.size() - 2);
       ServerNotice notice = new ServerNotice(false, OptionalDouble.empty(), 3 * SECOND);
-      paused.forEach(state -> state.backpressure().answered(notice, time.read(), time.read()));
+      paused.forEach(state -> state.backpressure().recordAnswer(notice, time.read(), time.read()));
       directory.handlePause();
       List<ServerState> during = new ArrayList<>(used());
       during.removeAll(paused);
@@ -199,7 +199,7 @@
       List<ServerState> before = used();
       List<ServerState> unreachable = before.subList(0, 5);
       unreachable.forEach(directory::recordUnreachable);
-      unreachable.forEach(state -> state.sampled(new LoadSample(0, 0, 2, 1), 0, time.read()));
+      unreachable.forEach(state -> state.recordSample(new LoadSample(0, 0, 2, 1), 0, time.read()));
       directory.sweep();
       assertEquals(used(), before);
     }
@@ -250,7 +250,7 @@
      */
     @Test
     public void reinstatedServersCountAsColdUntilTheyReportOtherwise() {
-      PausedClock time = new PausedClock();
+      ManualClock time = new ManualClock();
       Clocks clocks = time.clocks();
       ServerDirectory directory = directory(clocks, new Warmup(WARMUP_NANOS, 2));
       apply(directory, 1, Servers.entry("a", false), Servers.entry("b", false));
@@ -261,7 +261,7 @@
       ServerState second = directory.of("s").get(1).state();
       assertTrue(first.acceptsWork());
       assertTrue(first.cold(clocks.nanos()));
-      first.warmupTold(0, clocks.nanos());
+      first.recordWarmup(0, clocks.nanos());
       assertFalse(first.cold(clocks.nanos()));
       assertTrue(second.cold(clocks.nanos()));
       time.advance(WARMUP_NANOS);
@@ -286,8 +286,8 @@
       ServerDirectory directory = directory();
       apply(directory, 1, Servers.entry("a", false));
       ServerState old = only(directory);
-      old.sent();
-      old.markGone();
+      old.requestStarted();
+      old.markRemoved();
       for (int i = 0; i < 5; i++) {
         directory.recordFailure(old, "error");
       }
--- a/front/src/test/java/org/magnoliaswitch/front/process/ServerQuotasTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ServerQuotasTest.java
@@ -7,10 +7,10 @@
 import java.util.OptionalDouble;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
-import org.magnoliaswitch.front.load.InstancePlace;
+import org.magnoliaswitch.front.load.InstanceIndex;
 import org.magnoliaswitch.front.load.ServerNotice;
 import org.magnoliaswitch.front.load.ServerState;
-import org.magnoliaswitch.front.testing.PausedClock;
+import org.magnoliaswitch.front.testing.ManualClock;
 import org.magnoliaswitch.front.testing.Servers;
 import org.magnoliaswitch.front.testing.TestEnvironment;
 import org.magnoliaswitch.front.version.RouteTable;
@@ -25,7 +25,7 @@
   /** Longer than an instance needs to find the others. */
   private static final long SETTLED = 10 * SECOND;
 
-  private PausedClock time;
+  private ManualClock time;
   private InstanceCount instances;
   private ServerQuotas quotas;
   private ServerState server;
@@ -33,7 +33,7 @@
   /** Sets up two instances that both send to all servers. */
   @BeforeMethod
   public void createQuotas() {
-    time = new PausedClock();
+    time = new ManualClock();
     instances = new InstanceCount(2, time.clocks());
     FrontSettings settings = TestEnvironment.settings();
     AtomicReference<RouteTable> routes = new AtomicReference<>(RouteTable.EMPTY);
@@ -44,14 +44,14 @@
 
   private void limit(double perSecond) {
     ServerNotice notice = new ServerNotice(false, OptionalDouble.of(perSecond), 0);
-    server.backpressure().answered(notice, time.read(), time.read());
+    server.backpressure().recordAnswer(notice, time.read(), time.read());
   }
 
   private int sendAll(long spanNanos) {
     int sent = 0;
     for (long passed = 0; passed < spanNanos; passed += MILLI) {
       if (quotas.allowed(server)) {
-        server.written(time.read());
+        server.recordWrite(time.read());
         sent++;
       }
       time.advance(MILLI);
@@ -76,7 +76,7 @@
   public void requestsSentBeforeLimitCount() {
     time.advance(SETTLED);
     for (int i = 0; i < 5; i++) {
-      server.written(time.read());
+      server.recordWrite(time.read());
     }
     limit(3);
     assertEquals(sendAll(4 * SECOND), 1);
@@ -87,7 +87,7 @@
     time.advance(SETTLED);
     limit(3);
     time.advance(SECOND);
-    server.backpressure().answered(ServerNotice.NONE, time.read(), time.read());
+    server.backpressure().recordAnswer(ServerNotice.NONE, time.read(), time.read());
     assertEquals(sendAll(SECOND), SECOND / MILLI);
   }
 
@@ -128,7 +128,7 @@
 
   private void pause(long nanos) {
     ServerNotice notice = new ServerNotice(false, OptionalDouble.empty(), nanos);
-    server.backpressure().answered(notice, time.read(), time.read());
+    server.backpressure().recordAnswer(notice, time.read(), time.read());
   }
 
   /** Guards against requests to a server that has asked for a pause. */
@@ -148,14 +148,14 @@
     pause(3 * SECOND);
     time.advance(SECOND);
     pause(SECOND);
-    server.backpressure().answered(ServerNotice.NONE, time.read(), time.read());
+    server.backpressure().recordAnswer(ServerNotice.NONE, time.read(), time.read());
     assertEquals(quotas.waitNanos(server), 2 * SECOND);
   }
 
-  private InstancePlace placeWithoutShare() {
+  private InstanceIndex placeWithoutShare() {
     for (int index = 0; index < 100; index++) {
-      InstancePlace place = new InstancePlace(index, 100);
-      if (!place.drawn(server.entry().incarnation(), 3)) {
+      InstanceIndex place = new InstanceIndex(index, 100);
+      if (!place.selected(server.entry().incarnation(), 3)) {
         return place;
       }
     }
