--- a/front/src/main/java/org/magnoliaswitch/front/process/ColdServerQuotas.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ColdServerQuotas.java
@@ -68,7 +68,7 @@
   }
 
   private ColdShare share(ColdServer server) {
-    SenderSelection selection = instances.draw(settings.instance(), server.incarnation());
+    SenderSelection selection = instances.selectSenders(settings.instance(), server.incarnation());
     return ColdShare.of(server.warmup(), settings.coldServerBounds(), selection);
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/CrashArchive.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/CrashArchive.java
@@ -66,8 +66,8 @@
 
   /** Identifies a crash regardless of the instance that reported it. */
   private record CrashKey(RequestIdentity request, String server) {
-    static CrashKey of(CrashReport.Crashed ended) {
-      return new CrashKey(ended.request(), ended.server());
+    static CrashKey of(CrashReport.Crashed crash) {
+      return new CrashKey(crash.request(), crash.server());
     }
   }
 
@@ -90,10 +90,10 @@
   /** Queues the crashes that this instance has observed for writing. */
   void recordOwn(List<CrashReport> reports) {
     for (CrashReport report : reports) {
-      if (report instanceof CrashReport.Crashed ended && pending.size() < MAX_PENDING) {
-        pending.add(CrashKey.of(ended));
+      if (report instanceof CrashReport.Crashed crash && pending.size() < MAX_PENDING) {
+        pending.add(CrashKey.of(crash));
         boolean suspect =
-            watch.table().suspicionLevel(ended.request()) != SuspicionLevel.UNSUSPECTED;
+            watch.table().suspicionLevel(crash.request()) != SuspicionLevel.UNSUSPECTED;
         loop.afterMillis(suspect ? 0 : WRITE_DELAY_MILLIS, this::write);
       }
     }
@@ -130,13 +130,13 @@
     List<CrashReport.Crashed> removable = new ArrayList<>();
     Set<CrashKey> foundNow = new HashSet<>();
     for (CrashStore.StoredCrash row : rows) {
-      CrashReport.Crashed ended = row.crash();
+      CrashReport.Crashed crash = row.crash();
       boolean expired = now - row.epochMillis() > MAX_AGE_MILLIS;
-      if (expired || watch.table().cleared(ended.request(), ended.server())) {
-        removable.add(ended);
+      if (expired || watch.table().cleared(crash.request(), crash.server())) {
+        removable.add(crash);
       } else {
-        foundNow.add(CrashKey.of(ended));
-        current.add(ended);
+        foundNow.add(CrashKey.of(crash));
+        current.add(crash);
       }
     }
     List<CrashReport> cleared = cleared(foundNow);
@@ -199,7 +199,7 @@
         .add("confirmed", String.valueOf(confirmed))
         .write();
     if (confirmed) {
-      puts.forEach(ended -> pending.remove(CrashKey.of(ended)));
+      puts.forEach(crash -> pending.remove(CrashKey.of(crash)));
     }
     if (!pending.isEmpty()) {
       loop.afterMillis(confirmed ? 0 : RETRY_MILLIS, this::write);
--- a/front/src/main/java/org/magnoliaswitch/front/process/InstanceCount.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/InstanceCount.java
@@ -20,7 +20,7 @@
   private static final long SETTLE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   private final AtomicInteger count;
-  private final AtomicReference<Optional<InstanceIndex>> place =
+  private final AtomicReference<Optional<InstanceIndex>> index =
       new AtomicReference<>(Optional.empty());
   private final Clocks clocks;
   private final long startedNanos;
@@ -47,26 +47,27 @@
   }
 
   /**
-   * This instance's place among all; the last one it had while it hears nobody, since the others go
-   * on counting on it for a while.
+   * Returns the index of this instance among all. It is kept while no messages from other instances
+   * arrive, since these continue to count this instance for a while.
    */
-  public Optional<InstanceIndex> place() {
-    return place.get();
+  public Optional<InstanceIndex> index() {
+    return index.get();
   }
 
-  /** Takes a place that others tell. */
-  public void placed(InstanceIndex told) {
-    place.set(Optional.of(told));
+  /** Sets the index that a seed has assigned to this instance. */
+  public void updateIndex(InstanceIndex assigned) {
+    index.set(Optional.of(assigned));
   }
 
   /**
-   * Draws senders to a server as far as the instances are known now.
+   * Returns the selection of the instances that send to a server, from the currently known
+   * instances.
    *
    * @param instance name of this instance
-   * @param incarnation names the server and its start
+   * @param incarnation incarnation of the server
    */
-  SenderSelection draw(String instance, String incarnation) {
-    return new SenderSelection(instance, incarnation, count(), place());
+  SenderSelection selectSenders(String instance, String incarnation) {
+    return new SenderSelection(instance, incarnation, count(), index());
   }
 
   /** Whether this instance has been running long enough to have found the others. */
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerQuotas.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerQuotas.java
@@ -99,7 +99,7 @@
   }
 
   private RateLimitShare share(Limit limit) {
-    SenderSelection selection = instances.draw(settings.instance(), limit.incarnation());
+    SenderSelection selection = instances.selectSenders(settings.instance(), limit.incarnation());
     return RateLimitShare.of(limit.perSecond(), selection, limit.subsetShare());
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/ShareCache.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ShareCache.java
@@ -23,7 +23,7 @@
   private Basis basis = new Basis(0, Optional.empty());
 
   /** The state of the instances that all shares depend on. */
-  private record Basis(int instances, Optional<InstanceIndex> place) {}
+  private record Basis(int instances, Optional<InstanceIndex> index) {}
 
   ShareCache(InstanceCount instances, Function<K, S> compute) {
     this.instances = instances;
@@ -32,7 +32,7 @@
 
   /** Returns the share for a key, which is computed if it is not cached. */
   S get(K key) {
-    Basis now = new Basis(instances.count(), instances.place());
+    Basis now = new Basis(instances.count(), instances.index());
     if (!now.equals(basis) || shares.size() >= MAX_SHARES) {
       shares.clear();
       basis = now;
--- a/front/src/main/java/org/magnoliaswitch/front/process/StatePoller.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StatePoller.java
@@ -13,71 +13,75 @@
 import org.magnoliaswitch.front.version.ServerList;
 
 /**
- * Keeps what this instance believes fresh: from peers, and by reading the platform when the {@link
- * PollingSchedule} says so. Runs on the control loop.
+ * Keeps the state of this instance up to date: from peers, and by reading the platform when the
+ * {@link PollingSchedule} says so. Runs on the control loop.
  *
- * <p>What operators declared and the servers are read apart and have ages of their own; an instance
- * is as fresh as the older of the two. One instance waits for changes of what operators declared. A
- * wait can go deaf while servers are still read, so it is short, and the age that only its answers
- * renew makes another instance read.
+ * <p>The state declared by operators and the list of servers are read separately and have separate
+ * ages; the age of an instance's state is the larger of the two. One instance waits for changes of
+ * the declared state with long polls. These can stop reporting changes while servers are still
+ * read, so they are short, and the age of the declared state is reset only by their responses: if
+ * it grows, another instance reads.
  */
 public final class StatePoller {
-  /** Spread of the wait after a failed read: instances must not ask a returning store together. */
+  /**
+   * Range of the random part of the delay after a failed read, so that instances do not all call a
+   * recovering store at once.
+   */
   private static final long RETRY_SPAN_MILLIS = 300;
 
-  private static final long NANOS_BELOW_A_MILLI = TimeUnit.MILLISECONDS.toNanos(1) - 1;
+  private static final long MAX_NANOS_BELOW_MILLI = TimeUnit.MILLISECONDS.toNanos(1) - 1;
 
-  /** Smallest time between two looks at the plan. */
+  /** Minimum time between two checks of the schedule. */
   private static final long MIN_CHECK_MILLIS = 20;
 
   private final StateSource source;
   private final KnownState knownState;
-  private final PollingSchedule plan;
+  private final PollingSchedule schedule;
   private final Loop loop;
   private final Environment environment;
   private final Clocks clocks;
   private final RandomGenerator random;
   private final EventLog log;
   private final Listener listener;
-  private final BooleanSupplier hearsPeers;
+  private final BooleanSupplier receivesFromPeers;
   private final CrashArchive archive;
   private final DiscoveryReconciler reconciler = new DiscoveryReconciler();
   private final Freshness operatorState;
   private final Freshness servers = new Freshness();
   private final long startedNanos;
-  private boolean waitHealthy;
+  private boolean longPolling;
   private boolean changesMissed;
   private boolean sourceLost;
   private boolean reading;
   private Loop.Timer nextCheck = () -> {};
 
-  /** Is told what this instance has learnt. */
+  /** Receives notifications about the state of this instance. */
   public interface Listener {
-    /** Something newer than before is believed, or what is believed was confirmed. */
+    /** The state has become newer or has been confirmed. */
     void changed();
 
-    /** All of what is believed was read by this instance itself, just now. */
-    void readItself();
+    /** This instance itself has just read all of the state from the platform. */
+    void allRead();
   }
 
   /**
-   * Creates a reader.
+   * Creates a poller.
    *
-   * @param hearsPeers whether other instances tell their news
-   * @param archive is read whenever the platform is
+   * @param receivesFromPeers whether other instances currently send their state to this one
+   * @param archive crash archive, which is read whenever the platform is
    */
   public StatePoller(
       StateSource source,
       KnownState knownState,
-      PollingSchedule plan,
+      PollingSchedule schedule,
       Loop loop,
       Environment environment,
       Listener listener,
-      BooleanSupplier hearsPeers,
+      BooleanSupplier receivesFromPeers,
       CrashArchive archive) {
     this.source = source;
     this.knownState = knownState;
-    this.plan = plan;
+    this.schedule = schedule;
     this.loop = loop;
     this.environment = environment;
     this.operatorState = environment.routesFreshness();
@@ -85,45 +89,48 @@
     this.random = environment.random();
     this.log = environment.log();
     this.listener = listener;
-    this.hearsPeers = hearsPeers;
+    this.receivesFromPeers = receivesFromPeers;
     this.archive = archive;
     this.startedNanos = environment.clocks().nanos();
   }
 
-  /** Begins to read. */
+  /** Starts polling. */
   public void start() {
     loop.execute(this::check);
   }
 
-  /** Age of what is believed: that of its oldest part. */
+  /** Returns the age of the state, which is that of its oldest part. */
   public long ageMillis() {
     return Math.max(operatorStateAgeMillis(), serversAgeMillis());
   }
 
-  /** Time since the configuration and the evacuations were known to be the newest. */
+  /**
+   * Returns the time since the configuration and the evacuations were last confirmed to be the
+   * newest.
+   */
   public long operatorStateAgeMillis() {
     return operatorState.ageMillis(clocks.nanos());
   }
 
-  /** Time since the list of servers was known to be the newest. */
+  /** Returns the time since the list of servers was last confirmed to be the newest. */
   public long serversAgeMillis() {
     return servers.ageMillis(clocks.nanos());
   }
 
-  /** Takes what a peer knows. */
-  public void heard(PeerUpdate news, ServerList list) {
+  /** Applies the state that a peer has sent. */
+  public void received(PeerUpdate update, ServerList list) {
     long now = clocks.nanos();
-    offer(new OperatorState(routes(news), news.evacuations()), "peer");
+    offer(new OperatorState(routes(update), update.evacuations()), "peer");
     if (list.version() > knownState.servers().version()) {
       reconciler.adopt(list, now);
       knownState.offer(list);
     }
-    if (list.known() && news.evacuations().known()) {
-      servers.confirmed(asOf(news.ageMillis()));
-      long version = news.configuration().map(ConfigurationUpdate::version).orElse(0L);
+    if (list.known() && update.evacuations().known()) {
+      servers.confirmed(asOf(update.ageMillis()));
+      long version = update.configuration().map(ConfigurationUpdate::version).orElse(0L);
       if (version <= knownState.routesVersion()) {
         long age =
-            news.configuration().map(ConfigurationUpdate::ageMillis).orElse(news.ageMillis());
+            update.configuration().map(ConfigurationUpdate::ageMillis).orElse(update.ageMillis());
         operatorState.confirmed(asOf(age));
       }
     }
@@ -133,29 +140,37 @@
     return clocks.nanos() - TimeUnit.MILLISECONDS.toNanos(ageMillis);
   }
 
-  /** The configuration that a peer's news lead to; empty if that is the one in force. */
-  private RouteTable routes(PeerUpdate news) {
-    return news.configuration()
+  /**
+   * Returns the configuration that results from a peer's update; an empty one if the update
+   * contains none.
+   */
+  private RouteTable routes(PeerUpdate update) {
+    return update
+        .configuration()
         .flatMap(ConfigurationUpdate::update)
-        .flatMap(update -> update.applyTo(knownState.routes()))
-        .or(news::routes)
+        .flatMap(change -> change.applyTo(knownState.routes()))
+        .or(update::routes)
         .orElse(RouteTable.EMPTY);
   }
 
-  /** Evacuations go first: a request that finds its route must not find an evacuated server. */
-  private boolean offer(OperatorState state, String told) {
-    boolean evacuationsChanged = knownState.offer(state.evacuations(), told);
-    boolean routesChanged = knownState.offer(state.routes(), told);
-    boolean news = evacuationsChanged || routesChanged;
-    if (news) {
+  /**
+   * Applies the declared state, evacuations first: a request that finds its route must not be sent
+   * to an evacuated server. Returns whether anything is newer than before.
+   */
+  private boolean offer(OperatorState state, String origin) {
+    boolean evacuationsChanged = knownState.offer(state.evacuations(), origin);
+    boolean routesChanged = knownState.offer(state.routes(), origin);
+    boolean changed = evacuationsChanged || routesChanged;
+    if (changed) {
       listener.changed();
     }
-    return news;
+    return changed;
   }
 
   private void check() {
     long uptime = TimeUnit.NANOSECONDS.toMillis(clocks.nanos() - startedNanos);
-    long wait = Math.min(plan.untilRead(ageOfOwnReadsMillis(), uptime), untilRetentionEndsMillis());
+    long wait =
+        Math.min(schedule.untilRead(ageOfOwnReadsMillis(), uptime), untilRetentionEndsMillis());
     if (wait <= 0 || changesMissed) {
       read();
     } else {
@@ -163,9 +178,12 @@
     }
   }
 
-  /** While a wait for changes is out, only the servers can be read. */
+  /**
+   * Returns the age of the parts that the next read covers: while a long poll is pending, it covers
+   * only the servers.
+   */
   private long ageOfOwnReadsMillis() {
-    return waitHealthy ? serversAgeMillis() : ageMillis();
+    return longPolling ? serversAgeMillis() : ageMillis();
   }
 
   private void checkAfterMillis(long millis) {
@@ -178,14 +196,14 @@
     if (nanos.isEmpty()) {
       return Long.MAX_VALUE;
     }
-    // Rounded up: a read a moment too early would keep the entries once more.
-    return TimeUnit.NANOSECONDS.toMillis(nanos.getAsLong() + NANOS_BELOW_A_MILLI);
+    // Rounded up: a read slightly too early would retain the entries again.
+    return TimeUnit.NANOSECONDS.toMillis(nanos.getAsLong() + MAX_NANOS_BELOW_MILLI);
   }
 
   private void read() {
     reading = true;
     long asOf = clocks.nanos();
-    if (waitHealthy) {
+    if (longPolling) {
       source.servers(read -> serversRead(read, asOf));
     } else {
       source.operatorState(read -> operatorStateRead(read, asOf));
@@ -199,9 +217,9 @@
     }
     changesMissed = false;
     operatorState.confirmed(asOf);
-    take(read);
-    if (plan.waitsForChanges()) {
-      waitHealthy = true;
+    apply(read);
+    if (schedule.waitsForChanges()) {
+      longPolling = true;
       awaitChange();
     }
     source.servers(list -> serversRead(list, asOf));
@@ -209,10 +227,10 @@
 
   private void awaitChange() {
     long begun = clocks.nanos();
-    source.nextOperatorState(PollingSchedule.WAIT_MILLIS, read -> changeCame(read, begun));
+    source.nextOperatorState(PollingSchedule.WAIT_MILLIS, read -> changeReceived(read, begun));
   }
 
-  private void changeCame(StateSource.Read<OperatorState> read, long begunNanos) {
+  private void changeReceived(StateSource.Read<OperatorState> read, long begunNanos) {
     if (read instanceof StateSource.Read.Failed<OperatorState> failed) {
       waitFailed(failed.reason(), begunNanos);
       return;
@@ -220,16 +238,19 @@
     long waitNanos = TimeUnit.MILLISECONDS.toNanos(PollingSchedule.WAIT_MILLIS);
     boolean waited = clocks.nanos() - begunNanos >= waitNanos;
     operatorState.confirmed(waited ? begunNanos + waitNanos : begunNanos);
-    if (!take(read)) {
-      // Nothing is new but the age.
+    if (!apply(read)) {
+      // Only the age is new.
       listener.changed();
     }
     awaitChange();
   }
 
-  /** Earlier answers may have left changes out, so the next read does not wait for its time. */
+  /**
+   * Handles a failed long poll. Earlier responses may have missed changes, so the next read does
+   * not wait until it is due.
+   */
   private void waitFailed(String reason, long begunNanos) {
-    waitHealthy = false;
+    longPolling = false;
     changesMissed = true;
     log.stateChange("wait_failed")
         .add("reason", reason)
@@ -237,7 +258,7 @@
         .add("configuration_age_ms", operatorStateAgeMillis())
         .write();
     if (!reading) {
-      checkAfterMillis(plan.afterFailedWaitMillis(millisSince(begunNanos)));
+      checkAfterMillis(schedule.afterFailedWaitMillis(millisSince(begunNanos)));
     }
   }
 
@@ -245,8 +266,8 @@
     return TimeUnit.NANOSECONDS.toMillis(clocks.nanos() - nanos);
   }
 
-  /** Puts in force what was read; returns whether it is newer than before. */
-  private boolean take(StateSource.Read<OperatorState> read) {
+  /** Applies the result of a read; returns whether it is newer than before. */
+  private boolean apply(StateSource.Read<OperatorState> read) {
     return read instanceof StateSource.Read.Known<OperatorState> known
         && offer(known.value(), "store");
   }
@@ -263,7 +284,7 @@
         knownState.offer(reconciler.reconcile(known.value(), clocks.nanos()));
         servers.confirmed(asOf);
         listener.changed();
-        listener.readItself();
+        listener.allRead();
         archive.read();
         check();
       }
@@ -275,10 +296,10 @@
     }
   }
 
-  private void failed(String what, String reason, long asOf) {
+  private void failed(String part, String reason, long asOf) {
     reading = false;
     log.stateChange("read_failed")
-        .add("reading", what)
+        .add("reading", part)
         .add("reason", reason)
         .add("took_ms", millisSince(asOf))
         .add("configuration_age_ms", operatorStateAgeMillis())
@@ -287,13 +308,13 @@
     reconciler.readFailed();
     if (!sourceLost) {
       log.stateChange("source_lost")
-          .add("reading", what)
+          .add("reading", part)
           .add("reason", reason)
           .add("age_ms", ageMillis())
           .write();
     }
     sourceLost = true;
-    long wait = plan.retryMillis(knownState.complete(), hearsPeers.getAsBoolean());
+    long wait = schedule.retryMillis(knownState.complete(), receivesFromPeers.getAsBoolean());
     checkAfterMillis(wait + random.nextLong(RETRY_SPAN_MILLIS));
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/StateSync.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StateSync.java
@@ -21,35 +21,45 @@
 import org.magnoliaswitch.front.version.RouteUpdate;
 import org.magnoliaswitch.front.version.ServerList;
 
-/** Everything by which this instance learns and passes on configuration and discovery. */
+/**
+ * Synchronizes configuration, discovery and crash reports with the platform and other instances.
+ */
 public final class StateSync {
-  /** Time between two looks for what may be forgotten; the shortest memory is a minute. */
-  private static final long FORGET_MILLIS = 10_000;
+  /**
+   * Interval at which outdated crash reports are removed; the shortest retention time is a minute.
+   */
+  private static final long EXPIRY_MILLIS = 10_000;
 
   /**
-   * Reports of so long go out together. When a data centre is lost, the requests under way there
-   * make hundreds of them within a moment, and each alone would be a message from each seed to each
-   * instance.
+   * Crash reports from this span are sent as one batch. When a data centre is lost, the requests in
+   * flight there cause hundreds of reports at once, and each sent alone would be a message from
+   * each seed to each instance.
    */
-  private static final long GATHER_MILLIS = 5;
+  private static final long BATCH_MILLIS = 5;
 
-  /** Instances that have read pass on what they read within so long, one after the other. */
-  private static final long PASS_ON_SPAN_MILLIS = 600;
+  /**
+   * Range of the random delay after which an instance forwards what it has read, so that instances
+   * do so one after the other.
+   */
+  private static final long FORWARD_SPAN_MILLIS = 600;
 
-  /** Time between two looks at which seed is to send updates of the configuration at once. */
-  private static final long CONFIRM_MILLIS = 500;
+  /**
+   * Interval at which this instance checks which seed is to send it configuration updates
+   * immediately.
+   */
+  private static final long ACKNOWLEDGE_MILLIS = 500;
 
   private final Environment environment;
   private final KnownState knownState;
   private final Loop loop;
   private final PeerHub hub;
-  private final StatePoller reader;
+  private final StatePoller poller;
   private final Map<InetSocketAddress, Integer> instancesByPeer = new HashMap<>();
-  private final Map<InetSocketAddress, InstanceIndex> placesBySeed = new HashMap<>();
+  private final Map<InetSocketAddress, InstanceIndex> indexesBySeed = new HashMap<>();
   private final CrashArchive archive;
   private final Map<InetSocketAddress, PeerSubscription> subscriptions = new LinkedHashMap<>();
-  private final List<CrashReport> toReport = new ArrayList<>();
-  private final List<CrashReport> toTell = new ArrayList<>();
+  private final List<CrashReport> pendingReports = new ArrayList<>();
+  private final List<CrashReport> pendingPublications = new ArrayList<>();
 
   public StateSync(
       Environment environment, KnownState knownState, Loop control, StateSource source) {
@@ -57,22 +67,23 @@
     this.knownState = knownState;
     this.loop = control;
     FrontSettings settings = environment.settings();
-    PollingSchedule plan =
+    PollingSchedule schedule =
         PollingSchedule.of(
             settings.peers(),
             settings.seeds(),
             settings.firstStart(),
             environment.random().nextInt(PollingSchedule.JITTER_SPAN_MILLIS));
-    this.archive = new CrashArchive(source.crashStore(), environment, control, this::hearsPeers);
-    this.reader =
+    this.archive =
+        new CrashArchive(source.crashStore(), environment, control, this::receivesFromPeers);
+    this.poller =
         new StatePoller(
             source,
             knownState,
-            plan,
+            schedule,
             control,
             environment,
-            new Learnt(),
-            this::hearsPeers,
+            new PollerListener(),
+            this::receivesFromPeers,
             archive);
     this.hub =
         new PeerHub(
@@ -80,17 +91,17 @@
             environment.clocks(),
             () ->
                 new PeerHub.Snapshot(
-                    reader.ageMillis(),
-                    reader.operatorStateAgeMillis(),
+                    poller.ageMillis(),
+                    poller.operatorStateAgeMillis(),
                     environment.routes().get(),
                     knownState.evacuations(),
                     knownState.servers(),
                     environment.crashes().table()),
             reports -> environment.crashes().heard(reports, CrashWatch.Source.LISTENER),
-            this::heardOfListener);
+            this::receivedFromListener);
   }
 
-  /** Binds the peers' address, listens to the seeds and begins to read. */
+  /** Binds the address for peers, subscribes to the seeds and starts polling. */
   public void start() {
     FrontSettings settings = environment.settings();
     hub.bind(settings.peers());
@@ -101,22 +112,22 @@
                 loop,
                 environment.clocks(),
                 seed,
-                (news, servers) -> heard(seed, news, servers),
+                (update, servers) -> received(seed, update, servers),
                 () -> environment.crashes().table().reports(),
-                () -> held(seed));
+                () -> heldConfiguration(seed));
         subscriptions.put(seed, subscription);
         subscription.start();
       }
     }
-    environment.crashes().listen(lesson -> loop.execute(() -> share(lesson)));
-    environment.crashes().coordinateTrials(this::heardByOthers);
-    loop.everyMillis(FORGET_MILLIS, environment.crashes()::forgetOutdated);
-    loop.everyMillis(CONFIRM_MILLIS, this::confirm);
-    reader.start();
+    environment.crashes().listen(lesson -> loop.execute(() -> enqueue(lesson)));
+    environment.crashes().coordinateTrials(this::reachesOthers);
+    loop.everyMillis(EXPIRY_MILLIS, environment.crashes()::forgetOutdated);
+    loop.everyMillis(ACKNOWLEDGE_MILLIS, this::acknowledge);
+    poller.start();
     environment.metrics().gauge("configuration.version", knownState::routesVersion);
-    environment.metrics().gauge("knowledge.age.milliseconds", reader::ageMillis);
-    environment.metrics().gauge("configuration.age.milliseconds", reader::operatorStateAgeMillis);
-    environment.metrics().gauge("servers.age.milliseconds", reader::serversAgeMillis);
+    environment.metrics().gauge("knowledge.age.milliseconds", poller::ageMillis);
+    environment.metrics().gauge("configuration.age.milliseconds", poller::operatorStateAgeMillis);
+    environment.metrics().gauge("servers.age.milliseconds", poller::serversAgeMillis);
     environment.metrics().gauge("peer.bytes.told", hub::bytesSent);
     environment.metrics().gauge("peer.listeners.dropped", hub::listenersDropped);
     environment.metrics().gauge("peer.listeners.behind", hub::listenersBehind);
@@ -128,91 +139,92 @@
   }
 
   /**
-   * Passes on what is new about requests under which servers end. What an instance sees it reports
-   * to its seeds, and they tell all that listen to them; so it reaches each once from each seed,
-   * and none passes it back.
+   * Queues new crash reports for publication. An instance reports its own observations to its
+   * seeds, and they publish them to all their listeners; so a report reaches each instance once
+   * from each seed and is never sent back.
    */
-  private void share(CrashWatch.Lesson lesson) {
+  private void enqueue(CrashWatch.Lesson lesson) {
     if (lesson.source() == CrashWatch.Source.OWN) {
       archive.recordOwn(lesson.news());
-      toReport.addAll(lesson.news());
+      pendingReports.addAll(lesson.news());
     }
-    if (toTell.isEmpty()) {
-      loop.afterMillis(GATHER_MILLIS, this::shareGathered);
+    if (pendingPublications.isEmpty()) {
+      loop.afterMillis(BATCH_MILLIS, this::publishBatch);
     }
-    toTell.addAll(lesson.news());
+    pendingPublications.addAll(lesson.news());
   }
 
-  private void shareGathered() {
-    List<CrashReport> reports = List.copyOf(toReport);
-    List<CrashReport> news = List.copyOf(toTell);
-    toReport.clear();
-    toTell.clear();
+  private void publishBatch() {
+    List<CrashReport> reports = List.copyOf(pendingReports);
+    List<CrashReport> published = List.copyOf(pendingPublications);
+    pendingReports.clear();
+    pendingPublications.clear();
     subscriptions.values().forEach(subscription -> subscription.report(reports));
-    hub.publish(news);
+    hub.publish(published);
   }
 
-  /** Whether others hear of what happens here, or there are none. */
-  private boolean heardByOthers() {
-    return subscriptions.isEmpty() || hearsPeers() || hub.instances() > 1;
+  /** Whether crash reports of this instance reach other instances, or there are none. */
+  private boolean reachesOthers() {
+    return subscriptions.isEmpty() || receivesFromPeers() || hub.instances() > 1;
   }
 
-  private boolean hearsPeers() {
+  private boolean receivesFromPeers() {
     return subscriptions.values().stream().anyMatch(PeerSubscription::receiving);
   }
 
-  private void heard(InetSocketAddress seed, PeerUpdate news, ServerList servers) {
-    instancesByPeer.put(seed, news.instances());
-    news.instanceIndex().ifPresent(place -> placesBySeed.put(seed, place));
-    learnInstances();
-    reader.heard(news, servers);
-    confirm();
-    environment.crashes().heard(news.crashes(), CrashWatch.Source.PEER);
+  private void received(InetSocketAddress seed, PeerUpdate update, ServerList servers) {
+    instancesByPeer.put(seed, update.instances());
+    update.instanceIndex().ifPresent(index -> indexesBySeed.put(seed, index));
+    updateInstances();
+    poller.received(update, servers);
+    acknowledge();
+    environment.crashes().heard(update.crashes(), CrashWatch.Source.PEER);
   }
 
-  private void tell() {
-    learnInstances();
+  private void publish() {
+    updateInstances();
     hub.publish();
-    confirm();
+    acknowledge();
   }
 
-  /** Tells others of what was learnt. */
-  private final class Learnt implements StatePoller.Listener {
+  /** Publishes what the poller has read. */
+  private final class PollerListener implements StatePoller.Listener {
     @Override
     public void changed() {
-      tell();
+      publish();
     }
 
     @Override
-    public void readItself() {
-      if (!seed() && subscriptions.values().stream().anyMatch(PeerSubscription::peerStale)) {
-        long wait = environment.random().nextLong(PASS_ON_SPAN_MILLIS);
-        loop.afterMillis(wait, StateSync.this::passOn);
+    public void allRead() {
+      if (!isSeed() && subscriptions.values().stream().anyMatch(PeerSubscription::peerStale)) {
+        long delay = environment.random().nextLong(FORWARD_SPAN_MILLIS);
+        loop.afterMillis(delay, StateSync.this::forwardToSeeds);
       }
     }
   }
 
   /**
-   * Tells seeds that cannot read what this instance has read: others that cannot read either learn
-   * from the seeds alone. By now another instance may have done so.
+   * Forwards what this instance has read to seeds that cannot read the platform: other instances
+   * that cannot read it either depend on the seeds alone. Another instance may have done so in the
+   * meantime.
    */
-  private void passOn() {
+  private void forwardToSeeds() {
     subscriptions.values().stream()
         .filter(PeerSubscription::peerStale)
-        .forEach(seed -> seed.forward(this::known));
+        .forEach(seed -> seed.forward(this::fullState));
   }
 
   /**
-   * All that this instance knows, but for requests under which servers end.
+   * Returns the whole state of this instance except for crash reports.
    *
-   * @param version configuration that the receiver has
+   * @param version configuration version that the receiver has
    */
-  private PeerUpdate known(long version) {
+  private PeerUpdate fullState(long version) {
     RouteTable routes = knownState.routes();
     Optional<RouteUpdate> update =
         version < routes.version() ? Optional.of(new RouteUpdate.Full(routes)) : Optional.empty();
     return new PeerUpdate(
-        reader.ageMillis(),
+        poller.ageMillis(),
         environment.instances().count(),
         Optional.empty(),
         ServerChanges.between(ServerList.EMPTY, knownState.servers()),
@@ -220,45 +232,52 @@
         List.of(),
         Optional.of(hub.ownIndex()),
         Optional.of(
-            new ConfigurationUpdate(routes.version(), reader.operatorStateAgeMillis(), update)));
+            new ConfigurationUpdate(routes.version(), poller.operatorStateAgeMillis(), update)));
   }
 
-  /** What a listener has read itself; told to all at once, so that none of them reads too. */
-  private void heardOfListener(PeerUpdate news) {
-    if (news.ageMillis() < reader.ageMillis()) {
-      reader.heard(news, news.servers().applyTo(ServerList.EMPTY));
-      tell();
+  /**
+   * Applies what a listener has read itself and publishes it at once, so that no other instance
+   * reads too.
+   */
+  private void receivedFromListener(PeerUpdate update) {
+    if (update.ageMillis() < poller.ageMillis()) {
+      poller.received(update, update.servers().applyTo(ServerList.EMPTY));
+      publish();
     }
   }
 
-  private boolean seed() {
+  private boolean isSeed() {
     FrontSettings settings = environment.settings();
     return settings.seeds().contains(settings.peers());
   }
 
-  private void confirm() {
+  private void acknowledge() {
     subscriptions.values().forEach(PeerSubscription::acknowledge);
   }
 
-  private HeldConfiguration held(InetSocketAddress seed) {
-    return new HeldConfiguration(knownState.routesVersion(), 0, supply(seed));
+  private HeldConfiguration heldConfiguration(InetSocketAddress seed) {
+    return new HeldConfiguration(knownState.routesVersion(), 0, delivery(seed));
   }
 
   /**
-   * Seeds share the work: a large configuration from each of them to each instance would keep
-   * narrow links busy for seconds. Seeds themselves take it from whoever has it first.
+   * Returns when a seed is to send configuration updates to this instance. Seeds share the work: a
+   * large configuration sent by each of them to each instance would saturate narrow links for
+   * seconds. A seed accepts it from whichever peer has it first.
    */
-  private HeldConfiguration.Delivery supply(InetSocketAddress seed) {
-    if (seed()) {
+  private HeldConfiguration.Delivery delivery(InetSocketAddress seed) {
+    if (isSeed()) {
       return HeldConfiguration.Delivery.FIRST;
     }
-    return seed.equals(supplier())
+    return seed.equals(preferredSeed())
         ? HeldConfiguration.Delivery.IMMEDIATE
         : HeldConfiguration.Delivery.DEFERRED;
   }
 
-  /** The first seed that is heard, in an order that differs between instances. */
-  private InetSocketAddress supplier() {
+  /**
+   * Returns the first seed that this instance receives messages from, in an order that differs
+   * between instances.
+   */
+  private InetSocketAddress preferredSeed() {
     List<InetSocketAddress> seeds = environment.settings().seeds();
     int start = Math.floorMod(environment.settings().instance().hashCode(), seeds.size());
     for (int i = 0; i < seeds.size(); i++) {
@@ -271,45 +290,48 @@
     return seeds.get(start);
   }
 
-  private void placed(InstanceIndex place) {
-    Optional<Integer> before = environment.instances().place().map(InstanceIndex::index);
-    environment.instances().placed(place);
-    if (!before.equals(Optional.of(place.index()))) {
+  private void updateIndex(InstanceIndex next) {
+    Optional<Integer> before = environment.instances().index().map(InstanceIndex::index);
+    environment.instances().updateIndex(next);
+    if (!before.equals(Optional.of(next.index()))) {
       environment
           .log()
           .stateChange("placed")
-          .add("index", place.index())
-          .add("places", place.count())
+          .add("index", next.index())
+          .add("places", next.count())
           .write();
     }
   }
 
   /**
-   * The place that the first seed gives which is heard, so that all instances have theirs from the
-   * same one. A seed has its own among its listeners.
+   * Returns the index assigned by the first seed that this instance receives messages from, so that
+   * all instances have theirs from the same seed. A seed has an index among its own listeners.
    */
-  private Optional<InstanceIndex> firstPlace() {
+  private Optional<InstanceIndex> assignedIndex() {
     for (InetSocketAddress seed : environment.settings().seeds()) {
       if (seed.equals(environment.settings().peers())) {
         return Optional.of(hub.ownIndex());
       }
       PeerSubscription subscription = subscriptions.get(seed);
-      if (subscription != null && subscription.receiving() && placesBySeed.containsKey(seed)) {
-        return Optional.of(placesBySeed.get(seed));
+      if (subscription != null && subscription.receiving() && indexesBySeed.containsKey(seed)) {
+        return Optional.of(indexesBySeed.get(seed));
       }
     }
     return Optional.empty();
   }
 
-  /** The largest count heard: each seed counts those that listen to it, and a new one few. */
-  private void learnInstances() {
-    int most = hub.instances();
+  /**
+   * Updates the number of instances with the largest count received: each seed counts its
+   * listeners, and a seed that has just started has few.
+   */
+  private void updateInstances() {
+    int largest = hub.instances();
     for (int count : instancesByPeer.values()) {
-      most = Math.max(most, count);
+      largest = Math.max(largest, count);
     }
-    if (most > 1) {
-      environment.instances().update(most);
+    if (largest > 1) {
+      environment.instances().update(largest);
     }
-    firstPlace().ifPresent(this::placed);
+    assignedIndex().ifPresent(this::updateIndex);
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/process/ServerQuotasTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ServerQuotasTest.java
@@ -119,7 +119,7 @@
   @Test
   public void unconfirmedLimitIsTestedWithOneRequest() {
     instances.update(100);
-    instances.placed(placeWithoutShare());
+    instances.updateIndex(placeWithoutShare());
     time.advance(SETTLED);
     limit(0.5);
     assertEquals(sendAll(20 * SECOND), 0);
--- a/front/src/test/java/org/magnoliaswitch/front/process/ShareCacheTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ShareCacheTest.java
@@ -33,7 +33,7 @@
     shares.get("a");
     instances.update(3);
     shares.get("a");
-    instances.placed(new InstanceIndex(1, 3));
+    instances.updateIndex(new InstanceIndex(1, 3));
     shares.get("a");
     assertEquals(computed, 3);
   }
--- a/front/src/test/java/org/magnoliaswitch/front/process/StateSyncTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/StateSyncTest.java
@@ -38,12 +38,12 @@
 import org.magnoliaswitch.front.version.ServerList;
 import org.testng.annotations.Test;
 
-/** How instances learn from the platform and from each other. */
+/** Tests how instances receive state from the platform and from each other. */
 public final class StateSyncTest {
   private static final HeaderNames NAMES = TestHeaders.NAMES;
 
-  /** A platform whose answers a test sets. */
-  private static final class Source implements StateSource {
+  /** A platform whose responses a test sets. */
+  private static final class Platform implements StateSource {
     private final AtomicReference<Read<OperatorState>> configuration =
         new AtomicReference<>(new Read.Failed<>("away"));
     private final AtomicReference<Read<ServerList>> servers =
@@ -79,13 +79,13 @@
     }
   }
 
-  /** The parts of an instance that learn, without callers. */
-  private static final class Learner {
+  /** The parts of an instance that synchronize its state, without a listener for callers. */
+  private static final class TestInstance {
     private final Environment environment;
     private final KnownState knownState;
     private final Loop control = Loop.start();
 
-    Learner(int peersPort, List<InetSocketAddress> seeds, Source source) {
+    TestInstance(int peersPort, List<InetSocketAddress> seeds, Platform source) {
       Clocks clocks = Clocks.system();
       EventLog log = new EventLog(clocks);
       Loop requests = Loop.start();
@@ -150,61 +150,62 @@
     }
   }
 
-  /** What peers bring. */
+  /** State from peers. */
   public static final class Peers {
     /**
-     * The platform turns one machine away and serves the others. Its callers must not notice: it
-     * learns configuration, servers and later changes from a peer.
+     * Guards against an instance without state when the platform rejects its machine: it receives
+     * configuration, servers and later changes from a peer.
      */
     @Test
-    public void anInstanceThatThePlatformTurnsAwayLearnsFromItsPeer() throws Exception {
+    public void instanceRejectedByPlatformReceivesStateFromPeer() throws Exception {
       int port = freePort();
-      Source good = new Source();
-      good.answer(3, "a");
-      Learner seed = new Learner(port, List.of(at(port)), good);
-      Learner alone = new Learner(freePort(), List.of(at(port)), new Source());
-      alone.awaitVersion(3);
-      good.answer(4, "a", "b");
-      good.waiting.await();
+      Platform platform = new Platform();
+      platform.answer(3, "a");
+      TestInstance seed = new TestInstance(port, List.of(at(port)), platform);
+      TestInstance rejected = new TestInstance(freePort(), List.of(at(port)), new Platform());
+      rejected.awaitVersion(3);
+      platform.answer(4, "a", "b");
+      platform.waiting.await();
       seed.control.execute(
-          () -> good.waits.removeFirst().accept(new StateSource.Read.Known<>(declared(4))));
-      alone.awaitVersion(4);
-      assertEquals(alone.knownState.servers().servers().keySet(), Set.of("a", "b"));
-      assertEquals(alone.environment.instances().count(), 2);
+          () -> platform.waits.removeFirst().accept(new StateSource.Read.Known<>(declared(4))));
+      rejected.awaitVersion(4);
+      assertEquals(rejected.knownState.servers().servers().keySet(), Set.of("a", "b"));
+      assertEquals(rejected.environment.instances().count(), 2);
     }
 
-    /** Guards against instances that stay behind where the platform turns all seeds away. */
+    /** Guards against instances with outdated state when the platform rejects all seeds. */
     @Test(timeOut = 30_000)
-    public void whatOneInstanceReadReachesOthersThroughSeedsThatCannotRead() throws Exception {
+    public void stateIsForwardedThroughSeedsThatCannotRead() throws Exception {
       int port = freePort();
-      Learner seed = new Learner(port, List.of(at(port)), new Source());
-      Learner alone = new Learner(freePort(), List.of(at(port)), new Source());
-      Source good = new Source();
-      good.answer(3, "a");
-      Learner reader = new Learner(freePort(), List.of(at(port)), good);
+      TestInstance seed = new TestInstance(port, List.of(at(port)), new Platform());
+      TestInstance rejected = new TestInstance(freePort(), List.of(at(port)), new Platform());
+      Platform platform = new Platform();
+      platform.answer(3, "a");
+      TestInstance reader = new TestInstance(freePort(), List.of(at(port)), platform);
       reader.awaitVersion(3);
-      alone.awaitVersion(3);
-      good.answer(4, "a", "b");
-      alone.awaitVersion(4);
-      assertEquals(alone.knownState.servers().servers().keySet(), Set.of("a", "b"));
+      rejected.awaitVersion(3);
+      platform.answer(4, "a", "b");
+      rejected.awaitVersion(4);
+      assertEquals(rejected.knownState.servers().servers().keySet(), Set.of("a", "b"));
       assertEquals(seed.knownState.routesVersion(), 4);
     }
 
     /**
-     * A data centre is lost, and one instance sees hundreds of requests end with its servers. All
-     * others must know, and a message for each report would keep the seed from its callers.
+     * Guards against a message for each crash report, which would delay the callers of the seed:
+     * when a data centre is lost, one instance observes crashes during hundreds of requests, and
+     * all others must receive them.
      */
     @Test
-    public void reportsOfOneMomentReachAllTogether() throws IOException {
+    public void crashReportsArePublishedInBatches() throws IOException {
       int count = 300;
       int port = freePort();
-      Source good = new Source();
-      good.answer(3, "a");
-      Learner seed = new Learner(port, List.of(at(port)), good);
-      Learner reporter = new Learner(freePort(), List.of(at(port)), good);
-      Learner other = new Learner(freePort(), List.of(at(port)), good);
-      AtomicInteger heard = new AtomicInteger();
-      other.environment.crashes().listen(lesson -> heard.incrementAndGet());
+      Platform platform = new Platform();
+      platform.answer(3, "a");
+      TestInstance seed = new TestInstance(port, List.of(at(port)), platform);
+      TestInstance reporter = new TestInstance(freePort(), List.of(at(port)), platform);
+      TestInstance other = new TestInstance(freePort(), List.of(at(port)), platform);
+      AtomicInteger received = new AtomicInteger();
+      other.environment.crashes().listen(lesson -> received.incrementAndGet());
       while (other.environment.instances().count() < 3) {
         Thread.onSpinWait();
       }
@@ -216,74 +217,74 @@
         Thread.onSpinWait();
       }
       assertEquals(seed.environment.crashes().table().count(SuspicionLevel.UNSUSPECTED), count);
-      assertTrue(heard.get() < count / 2, heard + " messages");
+      assertTrue(received.get() < count / 2, received + " messages");
     }
 
     /**
-     * A few of all instances may send to a cold server. If two took the same place, it would get
-     * more than it bears: the seed gives each listener a place of its own and keeps one itself.
+     * Guards against an overloaded cold server because two instances have the same index and both
+     * send to it: the seed assigns a different index to each listener and keeps one itself.
      */
     @Test
-    public void allInstancesHaveDifferentPlaces() throws IOException {
+    public void allInstancesHaveDifferentIndexes() throws IOException {
       int port = freePort();
-      Source good = new Source();
-      good.answer(3, "a");
-      List<Learner> all = new ArrayList<>();
-      all.add(new Learner(port, List.of(at(port)), good));
+      Platform platform = new Platform();
+      platform.answer(3, "a");
+      List<TestInstance> all = new ArrayList<>();
+      all.add(new TestInstance(port, List.of(at(port)), platform));
       for (int i = 0; i < 4; i++) {
-        all.add(new Learner(freePort(), List.of(at(port)), good));
+        all.add(new TestInstance(freePort(), List.of(at(port)), platform));
       }
-      Set<Integer> indices = new HashSet<>();
-      for (Learner learner : all) {
-        InstanceCount instances = learner.environment.instances();
-        while (instances.place().map(InstanceIndex::count).orElse(0) < all.size()) {
+      Set<Integer> indexes = new HashSet<>();
+      for (TestInstance instance : all) {
+        InstanceCount instances = instance.environment.instances();
+        while (instances.index().map(InstanceIndex::count).orElse(0) < all.size()) {
           Thread.onSpinWait();
         }
-        indices.add(instances.place().orElseThrow().index());
+        indexes.add(instances.index().orElseThrow().index());
       }
-      assertEquals(indices, Set.of(0, 1, 2, 3, 4));
+      assertEquals(indexes, Set.of(0, 1, 2, 3, 4));
     }
 
     /**
-     * The seeds are gone and nobody tells anything. An instance must not wait for them: it reads
-     * the platform itself.
+     * Guards against an instance that waits for unavailable seeds instead of reading the platform
+     * itself.
      */
     @Test
-    public void anInstanceWithoutPeersReadsForItself() throws IOException {
-      Source good = new Source();
-      good.answer(5, "a");
-      Learner learner = new Learner(freePort(), List.of(at(freePort())), good);
-      learner.awaitVersion(5);
+    public void instanceWithoutPeersReadsPlatform() throws IOException {
+      Platform platform = new Platform();
+      platform.answer(5, "a");
+      TestInstance instance = new TestInstance(freePort(), List.of(at(freePort())), platform);
+      instance.awaitVersion(5);
     }
   }
 
   /** Data centres that operators evacuate. */
   public static final class Evacuated {
-    private static void await(Learner learner, String... dataCentres) {
-      while (!learner.knownState.evacuations().dataCentres().equals(Set.of(dataCentres))) {
+    private static void await(TestInstance instance, String... dataCentres) {
+      while (!instance.knownState.evacuations().dataCentres().equals(Set.of(dataCentres))) {
         Thread.onSpinWait();
       }
     }
 
     /**
-     * The platform turns one machine away while an operator evacuates a data centre and takes it
-     * back. That machine's callers must not be sent there: its peer tells it of both.
+     * Guards against requests to an evacuated data centre when the platform rejects the instance's
+     * machine: a peer sends both the evacuation and its end.
      */
     @Test
-    public void anInstanceThatThePlatformTurnsAwayLearnsOfThemFromItsPeer() throws Exception {
+    public void instanceRejectedByPlatformReceivesEvacuationsFromPeer() throws Exception {
       int port = freePort();
-      Source good = new Source();
-      good.answer(3, "a");
-      Learner seed = new Learner(port, List.of(at(port)), good);
-      Learner alone = new Learner(freePort(), List.of(at(port)), new Source());
-      good.waiting.await();
-      change(seed, good, new OperatorState(RouteTable.EMPTY, evacuations(4, "here")));
-      await(alone, "here");
-      change(seed, good, new OperatorState(RouteTable.EMPTY, evacuations(5)));
-      await(alone);
+      Platform platform = new Platform();
+      platform.answer(3, "a");
+      TestInstance seed = new TestInstance(port, List.of(at(port)), platform);
+      TestInstance rejected = new TestInstance(freePort(), List.of(at(port)), new Platform());
+      platform.waiting.await();
+      change(seed, platform, new OperatorState(RouteTable.EMPTY, evacuations(4, "here")));
+      await(rejected, "here");
+      change(seed, platform, new OperatorState(RouteTable.EMPTY, evacuations(5)));
+      await(rejected);
     }
 
-    private static void change(Learner seed, Source source, OperatorState state) {
+    private static void change(TestInstance seed, Platform source, OperatorState state) {
       seed.control.execute(
           () -> source.waits.removeFirst().accept(new StateSource.Read.Known<>(state)));
     }
@@ -292,36 +293,39 @@
       return new Evacuations(version, Set.of(dataCentres));
     }
 
-    /** A read that was under way when the data centre was evacuated must not take it back. */
+    /** Guards against a read that was in progress during the evacuation and undoes it. */
     @Test
-    public void anOlderReadTakesNothingBack() throws IOException {
-      Learner learner = new Learner(freePort(), List.of(), new Source());
-      learner.knownState.offer(evacuations(7, "here"), "test");
-      learner.knownState.offer(evacuations(6), "test");
-      await(learner, "here");
+    public void olderReadDoesNotUndoEvacuation() throws IOException {
+      TestInstance instance = new TestInstance(freePort(), List.of(), new Platform());
+      instance.knownState.offer(evacuations(7, "here"), "test");
+      instance.knownState.offer(evacuations(6), "test");
+      await(instance, "here");
     }
 
-    /** An instance that does not know what is evacuated must not call itself ready. */
+    /** Guards against an instance that reports to be ready without knowing the evacuations. */
     @Test
-    public void withoutThemAnInstanceIsNotReady() throws IOException {
-      Learner learner = new Learner(freePort(), List.of(), new Source());
-      learner.knownState.offer(table(1), "test");
-      learner.knownState.offer(new ServerList(1, Map.of()));
-      assertFalse(learner.knownState.complete());
-      learner.knownState.offer(evacuations(1), "test");
-      assertTrue(learner.knownState.complete());
+    public void instanceWithoutEvacuationsIsNotReady() throws IOException {
+      TestInstance instance = new TestInstance(freePort(), List.of(), new Platform());
+      instance.knownState.offer(table(1), "test");
+      instance.knownState.offer(new ServerList(1, Map.of()));
+      assertFalse(instance.knownState.complete());
+      instance.knownState.offer(evacuations(1), "test");
+      assertTrue(instance.knownState.complete());
     }
   }
 
   /** Faults of the platform. */
   public static final class Outages {
-    /** The wait for changes fails (its history is gone): a plain read must follow by itself. */
+    /**
+     * Guards against an outdated configuration after a failed long poll, for example because the
+     * history is gone: a plain read must follow by itself.
+     */
     @Test
-    public void aFailedWaitIsFollowedByARead() throws Exception {
+    public void failedLongPollIsFollowedByRead() throws Exception {
       int port = freePort();
-      Source source = new Source();
+      Platform source = new Platform();
       source.answer(6, "a");
-      Learner seed = new Learner(port, List.of(at(port)), source);
+      TestInstance seed = new TestInstance(port, List.of(at(port)), source);
       seed.awaitVersion(6);
       source.waiting.await();
       source.answer(7, "a");
@@ -330,47 +334,50 @@
       seed.awaitVersion(7);
     }
 
-    /** A deaf wait must not be taken for quiet while the servers are still read. */
+    /**
+     * Guards against a long poll that never reports a change and is taken for an unchanged
+     * configuration while the servers are still read.
+     */
     @Test
-    public void aDeafWaitIsNoticedThoughServersAreRead() throws Exception {
+    public void silentLongPollIsNoticedWhileServersAreRead() throws Exception {
       List<InetSocketAddress> seeds = List.of(at(freePort()), at(freePort()));
-      Source deaf = new Source();
-      deaf.answer(6, "a");
-      Learner first = new Learner(seeds.getFirst().getPort(), seeds, deaf);
-      Source source = new Source();
+      Platform silent = new Platform();
+      silent.answer(6, "a");
+      TestInstance first = new TestInstance(seeds.getFirst().getPort(), seeds, silent);
+      Platform source = new Platform();
       source.answer(6, "a");
-      Learner second = new Learner(seeds.getLast().getPort(), seeds, source);
+      TestInstance second = new TestInstance(seeds.getLast().getPort(), seeds, source);
       first.awaitVersion(6);
       second.awaitVersion(6);
       source.answer(7, "a");
       first.awaitVersion(7);
-      assertTrue(deaf.waiting.getCount() == 0, "waits");
+      assertTrue(silent.waiting.getCount() == 0, "first instance waits for changes");
     }
 
-    /** The platform answers with an older version after a newer one: nothing may change. */
+    /** Guards against applying an older version that the platform returns after a newer one. */
     @Test
-    public void anOlderConfigurationChangesNothing() throws IOException {
-      Source source = new Source();
+    public void olderConfigurationHasNoEffect() throws IOException {
+      Platform source = new Platform();
       source.answer(9, "a");
-      Learner learner = new Learner(freePort(), List.of(), source);
-      learner.awaitVersion(9);
+      TestInstance instance = new TestInstance(freePort(), List.of(), source);
+      instance.awaitVersion(9);
       source.configuration.set(new StateSource.Read.Known<>(declared(8)));
       int before = source.reads.get();
       while (source.reads.get() < before + 2) {
         Thread.onSpinWait();
       }
-      assertEquals(learner.knownState.routesVersion(), 9);
+      assertEquals(instance.knownState.routesVersion(), 9);
     }
 
     @Test
-    public void anInstanceStartsWhenThePlatformComesBack() throws Exception {
-      Source source = new Source();
-      Learner learner = new Learner(freePort(), List.of(), source);
+    public void instanceStartsWhenPlatformRecovers() throws Exception {
+      Platform source = new Platform();
+      TestInstance instance = new TestInstance(freePort(), List.of(), source);
       while (source.reads.get() < 2) {
         Thread.onSpinWait();
       }
       source.answer(1, "a");
-      learner.awaitVersion(1);
+      instance.awaitVersion(1);
     }
   }
 }
