--- a/front/src/main/java/org/magnoliaswitch/front/process/CrashLog.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/CrashLog.java
@@ -14,9 +14,9 @@
   public CrashLog(CrashWatch watch, EventLog log, FrontMetrics metrics) {
     this.log = log;
     this.metrics = metrics;
-    for (SuspicionLevel standing : List.of(SuspicionLevel.SUSPECT, SuspicionLevel.CONFIRMED)) {
+    for (SuspicionLevel level : List.of(SuspicionLevel.SUSPECT, SuspicionLevel.CONFIRMED)) {
       metrics.gauge(
-          "crash." + lowerCaseName(standing) + ".requests", () -> watch.table().count(standing));
+          "crash." + lowerCaseName(level) + ".requests", () -> watch.table().count(level));
     }
     watch.listen(this);
   }
--- a/front/src/test/java/org/magnoliaswitch/front/process/ServerQuotasTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ServerQuotasTest.java
@@ -119,7 +119,7 @@
   @Test
   public void unconfirmedLimitIsTestedWithOneRequest() {
     instances.update(100);
-    instances.updateIndex(placeWithoutShare());
+    instances.updateIndex(indexWithoutShare());
     time.advance(SETTLED);
     limit(0.5);
     assertEquals(sendAll(20 * SECOND), 0);
@@ -152,11 +152,11 @@
     assertEquals(quotas.waitNanos(server), 2 * SECOND);
   }
 
-  private InstanceIndex placeWithoutShare() {
+  private InstanceIndex indexWithoutShare() {
     for (int index = 0; index < 100; index++) {
-      InstanceIndex place = new InstanceIndex(index, 100);
-      if (!place.selected(server.entry().incarnation(), 3)) {
-        return place;
+      InstanceIndex candidate = new InstanceIndex(index, 100);
+      if (!candidate.selected(server.entry().incarnation(), 3)) {
+        return candidate;
       }
     }
     throw new AssertionError("all have a share");
