--- a/bench/src/main/java/org/magnoliaswitch/bench/model/FrontExchange.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/FrontExchange.java
@@ -9,7 +9,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import org.magnoliaswitch.front.load.AdmissionLimit;
-import org.magnoliaswitch.front.load.Fallback;
+import org.magnoliaswitch.front.load.CallerRetry;
 import org.magnoliaswitch.front.load.HedgeDelay;
 import org.magnoliaswitch.front.load.LoadSample;
 import org.magnoliaswitch.front.load.Mechanism;
@@ -18,7 +18,7 @@
 import org.magnoliaswitch.front.load.Placement;
 import org.magnoliaswitch.front.load.PlacementContext;
 import org.magnoliaswitch.front.load.RetryAfter;
-import org.magnoliaswitch.front.load.Selection;
+import org.magnoliaswitch.front.load.ServerSelection;
 import org.magnoliaswitch.front.load.ServerState;
 import org.magnoliaswitch.front.load.Timeliness;
 import org.magnoliaswitch.front.process.LatencyBaseline;
@@ -70,7 +70,7 @@
   }
 
   void start() {
-    node.routes().budget(service()).request(now());
+    node.routes().budget(service()).recordRequest(now());
     node.world().time().after(request.deadlineNanos() - now(), this::callerLeft);
     place();
   }
@@ -86,7 +86,7 @@
   private void cancel(Send send) {
     if (!send.ended) {
       send.ended = true;
-      send.state.ended();
+      send.state.requestEnded();
       node.pool(send.state).closed();
       node.model(send.state).cancel(send.job);
     }
@@ -100,15 +100,15 @@
     }
   }
 
-  private void search(Consumer<Selection.Step> found) {
+  private void search(Consumer<ServerSelection.Step> found) {
     look(0, found);
   }
 
-  private void look(int round, Consumer<Selection.Step> found) {
+  private void look(int round, Consumer<ServerSelection.Step> found) {
     PlacementContext context = context();
     List<Placement.Ranked> ranked = node.rank(context, request.kind(), tried);
-    Selection.Step step = Selection.next(ranked, context, round, true);
-    if (step instanceof Selection.Step.Ask ask) {
+    ServerSelection.Step step = ServerSelection.next(ranked, context, round, true);
+    if (step instanceof ServerSelection.Step.Probe ask) {
       ask(ask.servers(), () -> look(round + 1, found));
     } else {
       found.accept(step);
@@ -134,22 +134,22 @@
     node.world().time().afterMillis(longest, then);
   }
 
-  private void found(Selection.Step step, int asked) {
+  private void found(ServerSelection.Step step, int asked) {
     if (done || asked != searches) {
       return;
     }
     if (!sought && timeliness() == Timeliness.IN_TIME) {
-      node.routes().load(service()).sought(step instanceof Selection.Step.Send);
+      node.routes().load(service()).recordSearch(step instanceof ServerSelection.Step.Send);
     }
     sought = true;
     switch (step) {
-      case Selection.Step.Send send -> {
+      case ServerSelection.Step.Send send -> {
         leaveQueue();
         send(send.server());
       }
-      case Selection.Step.Ask ask -> waitForRoom();
-      case Selection.Step.Full full -> waitForRoom();
-      case Selection.Step.None none -> refuse(RetryAfter.Cause.BUSY);
+      case ServerSelection.Step.Probe ask -> waitForRoom();
+      case ServerSelection.Step.AllBusy full -> waitForRoom();
+      case ServerSelection.Step.NoServer none -> refuse(RetryAfter.Cause.BUSY);
     }
   }
 
@@ -158,7 +158,7 @@
     long objective = request.kind().route().objectiveNanos();
     long patience = request.deadlineNanos() - arrivedNanos;
     double limit = node.rules().waiting().nanos(timeliness(), usual, objective, patience);
-    if (now() - arrivedNanos > limit || !mechanisms().on(Mechanism.WAITING)) {
+    if (now() - arrivedNanos > limit || !mechanisms().enabled(Mechanism.WAITING)) {
       refuse(RetryAfter.Cause.BUSY);
       return;
     }
@@ -205,7 +205,7 @@
     }
     sends++;
     tried.add(state);
-    state.sent();
+    state.requestStarted();
     node.pool(state).takeForRequest(request.kind().route().idempotent());
     node.world().scoreboard().sent(node.near(state));
     long sentNanos = now();
@@ -235,14 +235,18 @@
     if (done || send.ended) {
       return;
     }
-    send.state.overdue((now() - sentNanos) / usual, now());
-    if (mechanisms().on(Mechanism.HEDGING) && request.kind().route().idempotent() && maySend()) {
+    send.state.recordOverdue((now() - sentNanos) / usual, now());
+    if (mechanisms().enabled(Mechanism.HEDGING)
+        && request.kind().route().idempotent()
+        && maySend()) {
       searches++;
       int current = searches;
       search(
           step -> {
             boolean wanted = !done && current == searches;
-            if (wanted && step instanceof Selection.Step.Send found && repeat(Fallback.NONE)) {
+            if (wanted
+                && step instanceof ServerSelection.Step.Send found
+                && repeat(CallerRetry.NONE)) {
               send(found.server());
             }
           });
@@ -253,17 +257,17 @@
     return sends < request.kind().route().maxServers();
   }
 
-  private boolean repeat(Fallback fallback) {
+  private boolean repeat(CallerRetry fallback) {
     return maySend() && node.mayRepeat(service(), fallback);
   }
 
-  private Fallback fallback() {
-    if (!mechanisms().on(Mechanism.LAST_TRIES_FIRST)) {
-      return Fallback.NONE;
+  private CallerRetry fallback() {
+    if (!mechanisms().enabled(Mechanism.LAST_TRIES_FIRST)) {
+      return CallerRetry.NONE;
     }
     double usual = node.routes().baseline(request.kind().route()).nanos();
     long left = request.deadlineNanos() - now();
-    return Fallback.of(request.firstTry(), OptionalLong.of(spentNanos), left, usual);
+    return CallerRetry.of(request.firstTry(), OptionalLong.of(spentNanos), left, usual);
   }
 
   private void rejected(Send send) {
@@ -271,9 +275,9 @@
       return;
     }
     send.ended = true;
-    send.state.ended();
+    send.state.requestEnded();
     node.pool(send.state).giveBack();
-    send.state.failed(now());
+    send.state.recordFailure(now());
     node.sampled(send.state);
     open.remove(send);
     if (done || !open.isEmpty()) {
@@ -295,7 +299,7 @@
       return;
     }
     send.ended = true;
-    send.state.ended();
+    send.state.requestEnded();
     node.pool(send.state).giveBack();
     node.answered(send.state, told);
     learn(send.state, now() - sentNanos, send.slowness);
@@ -309,18 +313,19 @@
 
   private void learn(ServerState state, long tookNanos, double slowness) {
     LatencyBaseline baseline = node.routes().baseline(request.kind().route());
-    Optional<FrontExchange> first = node.pending().first(service());
+    Optional<FrontExchange> first = node.pending().peek(service());
     if (first.isPresent() && first.get().suits(state)) {
       first.get().offered(state);
     }
-    state.succeeded(tookNanos / (baseline.nanos() * slowness), now());
+    state.recordSuccess(tookNanos / (baseline.nanos() * slowness), now());
     baseline.update(tookNanos / slowness);
   }
 
   private boolean suits(ServerState state) {
     PlacementContext context = context();
-    return Placement.fits(state, context)
-        && (AdmissionLimit.hasRoom(state, context) || AdmissionLimit.mayFill(state, context));
+    return Placement.expectedInTime(state, context)
+        && (AdmissionLimit.hasCapacity(state, context)
+            || AdmissionLimit.mayExceedKnee(state, context));
   }
 
   private PlacementContext context() {
--- a/front/src/main/java/org/magnoliaswitch/front/peer/ListenerNewsCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/ListenerUpdateCodec.java
@@ -11,31 +11,31 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Writes and reads {@link ListenerNews} as MessagePack. Instances of an earlier release write and
+ * Writes and reads {@link ListenerUpdate} as MessagePack. Instances of an earlier release write and
  * read the reports alone, and pass over what follows them.
  */
-final class ListenerNewsCodec {
-  private static final List<HeldConfiguration.Supply> SUPPLIES =
+final class ListenerUpdateCodec {
+  private static final List<HeldConfiguration.Delivery> DELIVERIES =
       List.of(
-          HeldConfiguration.Supply.FIRST,
-          HeldConfiguration.Supply.AT_ONCE,
-          HeldConfiguration.Supply.IN_RESERVE);
+          HeldConfiguration.Delivery.FIRST,
+          HeldConfiguration.Delivery.IMMEDIATE,
+          HeldConfiguration.Delivery.DEFERRED);
 
-  private ListenerNewsCodec() {}
+  private ListenerUpdateCodec() {}
 
-  static byte[] encode(ListenerNews news) {
+  static byte[] encode(ListenerUpdate news) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       CrashReportCodec.write(out, news.crashes());
       if (news.held().isPresent()) {
         HeldConfiguration held = news.held().get();
         out.packLong(held.version());
         out.packLong(held.lastUpdate());
-        out.packInt(SUPPLIES.indexOf(held.supply()));
+        out.packInt(DELIVERIES.indexOf(held.delivery()));
       }
-      if (news.passedOn().isPresent()) {
-        byte[] passedOn = Compression.deflated(PeerNewsCodec.encode(news.passedOn().get()));
-        out.packBinaryHeader(passedOn.length);
-        out.writePayload(passedOn);
+      if (news.forwarded().isPresent()) {
+        byte[] forwarded = Compression.deflated(PeerUpdateCodec.encode(news.forwarded().get()));
+        out.packBinaryHeader(forwarded.length);
+        out.writePayload(forwarded);
       }
       return out.toByteArray();
     } catch (IOException e) {
@@ -44,33 +44,33 @@
   }
 
   /** Decodes a message; anything malformed is an {@link IOException}. */
-  static ListenerNews decode(byte[] bytes) throws IOException {
+  static ListenerUpdate decode(byte[] bytes) throws IOException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       List<CrashReport> crashes = CrashReportCodec.read(in);
       Optional<HeldConfiguration> held = in.hasNext() ? Optional.of(held(in)) : Optional.empty();
-      Optional<PeerNews> passedOn =
-          in.hasNext() ? Optional.of(passedOn(in, bytes.length)) : Optional.empty();
-      return new ListenerNews(crashes, held, passedOn);
+      Optional<PeerUpdate> forwarded =
+          in.hasNext() ? Optional.of(forwarded(in, bytes.length)) : Optional.empty();
+      return new ListenerUpdate(crashes, held, forwarded);
     } catch (MessagePackException | IllegalArgumentException e) {
       throw new IOException("malformed news of a listener", e);
     }
   }
 
-  private static PeerNews passedOn(MessageUnpacker in, int messageLength) throws IOException {
+  private static PeerUpdate forwarded(MessageUnpacker in, int messageLength) throws IOException {
     int length = in.unpackBinaryHeader();
     if (length > messageLength) {
       throw new IOException("news of " + length + " bytes do not fit their message");
     }
-    return PeerNewsCodec.decode(Compression.inflated(in.readPayload(length)));
+    return PeerUpdateCodec.decode(Compression.inflated(in.readPayload(length)));
   }
 
   private static HeldConfiguration held(MessageUnpacker in) throws IOException {
     long version = in.unpackLong();
     long lastUpdate = in.unpackLong();
-    int supply = in.unpackInt();
-    if (supply < 0 || supply >= SUPPLIES.size()) {
-      throw new IOException("supply " + supply + " is not known");
+    int delivery = in.unpackInt();
+    if (delivery < 0 || delivery >= DELIVERIES.size()) {
+      throw new IOException("unknown delivery code " + delivery);
     }
-    return new HeldConfiguration(version, lastUpdate, SUPPLIES.get(supply));
+    return new HeldConfiguration(version, lastUpdate, DELIVERIES.get(delivery));
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerNews.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerUpdate.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.magnoliaswitch.core.crash.CrashReport;
-import org.magnoliaswitch.front.load.InstancePlace;
+import org.magnoliaswitch.front.load.InstanceIndex;
 import org.magnoliaswitch.front.version.Evacuations;
 import org.magnoliaswitch.front.version.RouteTable;
 
@@ -18,21 +18,21 @@
  * @param servers what changed in the sender's list since its last message
  * @param evacuations the evacuated data centres
  * @param crashes what is new about requests under which servers end
- * @param place the listener's place among all that listen to the sender
+ * @param instanceIndex the listener's place among all that listen to the sender
  * @param configuration the sender's configuration; absent in messages of an earlier release. Only
  *     with a place
  */
-public record PeerNews(
+public record PeerUpdate(
     long ageMillis,
     int instances,
     Optional<RouteTable> routes,
     ServerChanges servers,
     Evacuations evacuations,
     List<CrashReport> crashes,
-    Optional<InstancePlace> place,
-    Optional<ConfigurationNews> configuration) {
-  public PeerNews {
-    if (configuration.isPresent() && place.isEmpty()) {
+    Optional<InstanceIndex> instanceIndex,
+    Optional<ConfigurationUpdate> configuration) {
+  public PeerUpdate {
+    if (configuration.isPresent() && instanceIndex.isEmpty()) {
       throw new IllegalArgumentException("a configuration follows a place");
     }
     crashes = List.copyOf(crashes);
--- a/front/src/main/java/org/magnoliaswitch/front/process/ColdServerQuotas.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ColdServerQuotas.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.front.load.ColdShare;
-import org.magnoliaswitch.front.load.SenderDraw;
+import org.magnoliaswitch.front.load.SenderSelection;
 import org.magnoliaswitch.front.load.ServerState;
 import org.magnoliaswitch.front.version.RouteTable;
 import org.magnoliaswitch.front.version.Warmup;
@@ -38,7 +38,7 @@
 
   /** Whether this instance is one of those that send to a server while it is cold. */
   public boolean drawn(ServerState server) {
-    return share(server).mostPerSecond() > 0;
+    return share(server).maxPerSecond() > 0;
   }
 
   /** Whether a request may be sent to a server now, as far as its caches decide it. */
@@ -49,7 +49,7 @@
     }
     boolean limited = routes.get().warmup(server.entry().service()).limited();
     // An instance that knows of few others would take far too large a share.
-    return (!limited || instances.settled()) && server.bears(share(server), now);
+    return (!limited || instances.settled()) && server.withinColdShare(share(server), now);
   }
 
   /** A connection could not be opened: whoever listens there next may have started anew. */
@@ -63,7 +63,7 @@
   }
 
   private ColdShare share(Cold cold) {
-    SenderDraw draw = instances.draw(settings.instance(), cold.incarnation());
-    return ColdShare.of(cold.warmup(), settings.coldServerBounds(), draw);
+    SenderSelection selection = instances.draw(settings.instance(), cold.incarnation());
+    return ColdShare.of(cold.warmup(), settings.coldServerBounds(), selection);
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerQuotas.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerQuotas.java
@@ -5,7 +5,7 @@
 import java.util.function.ToDoubleFunction;
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.front.load.RateLimitShare;
-import org.magnoliaswitch.front.load.SenderDraw;
+import org.magnoliaswitch.front.load.SenderSelection;
 import org.magnoliaswitch.front.load.ServerState;
 
 /**
@@ -65,7 +65,7 @@
 
   /** The same as far as what the server asked for decides it. */
   private long askedWaitNanos(ServerState server) {
-    long pause = server.backpressure().pauseLeftNanos(clocks.nanos());
+    long pause = server.backpressure().remainingPauseNanos(clocks.nanos());
     return Math.max(pause, limitWaitNanos(server));
   }
 
@@ -78,13 +78,13 @@
     long unsettled = instances.settlesInNanos();
     return unsettled > 0
         ? unsettled
-        : server.waitNanos(share(server, perSecond.getAsDouble()), clocks.nanos());
+        : server.nanosUntilAllowed(share(server, perSecond.getAsDouble()), clocks.nanos());
   }
 
   private RateLimitShare share(ServerState server, double perSecond) {
     RateLimitShare share = shares.of(limit(server, perSecond));
     boolean unheard = server.backpressure().limitAgeNanos(clocks.nanos()) > LIMIT_TRIAL_NANOS;
-    return unheard && share.mostInSpan() == 0 ? TRIAL : share;
+    return unheard && share.maxPerWindow() == 0 ? TRIAL : share;
   }
 
   private Limit limit(ServerState server, double perSecond) {
@@ -93,7 +93,7 @@
   }
 
   private RateLimitShare share(Limit limit) {
-    SenderDraw draw = instances.draw(settings.instance(), limit.incarnation());
-    return RateLimitShare.of(limit.perSecond(), draw, limit.part());
+    SenderSelection selection = instances.draw(settings.instance(), limit.incarnation());
+    return RateLimitShare.of(limit.perSecond(), selection, limit.part());
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
@@ -83,11 +83,11 @@
   }
 
   void start(boolean idempotent) {
-    pool.state().sent();
+    pool.state().requestStarted();
     boolean reuseAny =
-        idempotent || !environment.settings().mechanisms().on(Mechanism.FRESH_CONNECTIONS);
+        idempotent || !environment.settings().mechanisms().enabled(Mechanism.FRESH_CONNECTIONS);
     Optional<ServerConnection> idle =
-        pool.takeIdle(reuseAny ? MAX_IDLE_NANOS : MAX_IDLE_NON_IDEMPOTENT_NANOS);
+        pool.acquireIdle(reuseAny ? MAX_IDLE_NANOS : MAX_IDLE_NON_IDEMPOTENT_NANOS);
     if (idle.isPresent()) {
       write(idle.get());
     } else {
@@ -108,7 +108,7 @@
   /** Records the answer as late, which makes the server a worse choice for other requests. */
   void markOverdue(double usualLatencyNanos) {
     long now = environment.clocks().nanos();
-    pool.state().overdue((now - sentNanos) / usualLatencyNanos, now);
+    pool.state().recordOverdue((now - sentNanos) / usualLatencyNanos, now);
   }
 
   /**
@@ -147,7 +147,7 @@
 
   private void handleConnected(ServerConnection opened) {
     if (ended || !exchange.awaitsAnswer() || !pool.state().acceptsWork()) {
-      pool.giveBack(opened);
+      pool.release(opened);
       if (!ended) {
         end();
         exchange.unreachable(this, "too_late");
@@ -168,20 +168,20 @@
   private void write(ServerConnection target) {
     long remainingMillis = TimeUnit.NANOSECONDS.toMillis(exchange.remainingNanos());
     if (remainingMillis <= 0) {
-      pool.giveBack(target);
+      pool.release(target);
       end();
       exchange.unreachable(this, "deadline");
       return;
     }
     if (!environment.quotas().allowed(pool.state())) {
-      pool.giveBack(target);
+      pool.release(target);
       end();
       exchange.notAdmitted(this);
       return;
     }
     Verdict verdict = exchange.crashDetector().crashes().admit();
     if (verdict == Verdict.REFUSED || verdict == Verdict.WAIT) {
-      pool.giveBack(target);
+      pool.release(target);
       end();
       exchange.notAdmitted(this);
       return;
@@ -189,7 +189,7 @@
     trial = verdict == Verdict.TRIAL;
     connection = target;
     sentNanos = environment.clocks().nanos();
-    pool.state().written(sentNanos);
+    pool.state().recordWrite(sentNanos);
     slownessWhenSent = Placement.slowness(pool.state(), serviceLoad(), sentNanos);
     exchange.attempts().attemptStarted();
     FullHttpRequest message =
@@ -212,7 +212,7 @@
         .add("request", requestId)
         .add("server", serverId())
         .add("left_ms", remainingMillis)
-        .add("held", pool.state().sample().held())
+        .add("held", pool.state().sample().outstanding())
         .addDecimal("slowness", pool.state().sample().slowness())
         .add("sample_age_ms", TimeUnit.NANOSECONDS.toMillis(pool.state().sampleAgeNanos(sentNanos)))
         .add("in_flight", pool.state().inFlight())
@@ -232,7 +232,7 @@
     }
     end();
     switch (reply) {
-      case ServerReply.Whole whole -> handleAnswer(whole);
+      case ServerReply.Complete whole -> handleAnswer(whole);
       case ServerReply.Broken broken -> {
         environment.servers().recordFailure(pool.state(), "broken");
         exchange.crashDetector().connectionBroken(pool, trial);
@@ -241,11 +241,11 @@
     }
   }
 
-  private void handleAnswer(ServerReply.Whole answer) {
+  private void handleAnswer(ServerReply.Complete answer) {
     recordLoad(answer);
     int status = answer.status().code();
     if (status == HttpResponseStatus.MISDIRECTED_REQUEST.code()) {
-      pool.state().markGone();
+      pool.state().markRemoved();
       environment.log().stateChange("server_replaced").add("server", serverId()).write();
       exchange.rejected(this, status);
     } else if (answer.headers().contains(environment.names().notExecuted())) {
@@ -260,7 +260,7 @@
     }
   }
 
-  private ServerNotice notice(ServerReply.Whole answer) {
+  private ServerNotice notice(ServerReply.Complete answer) {
     return NoticeHeaders.read(answer, environment.names());
   }
 
@@ -273,7 +273,7 @@
         environment.clocks().nanos() - sentNanos, slownessWhenSent, pool.state());
   }
 
-  private void recordLoad(ServerReply.Whole answer) {
+  private void recordLoad(ServerReply.Complete answer) {
     String load = answer.headers().get(environment.names().load());
     if (load != null) {
       int ownInFlight = pool.state().inFlight();
@@ -284,8 +284,8 @@
   private void recordSample(LoadSample reported, int ownInFlight) {
     ServiceLoad service = serviceLoad();
     LoadSample sample = service.afterAnswer(reported, environment.settings().mechanisms());
-    pool.state().sampled(sample, ownInFlight, environment.clocks().nanos());
-    service.sampled(sample);
+    pool.state().recordSample(sample, ownInFlight, environment.clocks().nanos());
+    service.recordSample(sample);
   }
 
   private ServiceLoad serviceLoad() {
@@ -294,6 +294,6 @@
 
   private void end() {
     ended = true;
-    pool.state().ended();
+    pool.state().requestEnded();
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/request/CallerAnswers.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/CallerResponses.java
@@ -7,19 +7,19 @@
 import java.math.BigDecimal;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
-import org.magnoliaswitch.front.connection.CallerAnswer;
+import org.magnoliaswitch.front.connection.CallerResponse;
 import org.magnoliaswitch.front.connection.ServerReply;
 
 /** Builds the answers that callers receive. */
-final class CallerAnswers {
-  private CallerAnswers() {}
+final class CallerResponses {
+  private CallerResponses() {}
 
   /**
    * Answers that the request was not executed and never will be, and that the caller may retry.
    *
    * @param retryAfterNanos time after which the caller may retry
    */
-  static CallerAnswer notExecuted(String reason, long retryAfterNanos) {
+  static CallerResponse notExecuted(String reason, long retryAfterNanos) {
     HttpHeaders headers = new DefaultHttpHeaders();
     BigDecimal seconds = BigDecimal.valueOf(TimeUnit.NANOSECONDS.toMillis(retryAfterNanos), 3);
     headers.set(HttpHeaderNames.RETRY_AFTER, seconds.toPlainString());
@@ -30,20 +30,20 @@
    * Forwards the answer of a server to a request that may have been executed. Statuses from which
    * callers would conclude that it was not executed are replaced by 502.
    */
-  static CallerAnswer forwarded(ServerReply.Whole answer) {
+  static CallerResponse forwarded(ServerReply.Complete answer) {
     return impliesNotExecuted(answer.status().code())
         ? possiblyExecuted(HttpResponseStatus.BAD_GATEWAY, "unconfirmed_refusal")
-        : new CallerAnswer(
+        : new CallerResponse(
             answer.status(), EndToEndHeaders.copyOf(answer.headers()), answer.body());
   }
 
   /** Answers that the request may have been executed. */
-  static CallerAnswer possiblyExecuted(HttpResponseStatus status, String reason) {
+  static CallerResponse possiblyExecuted(HttpResponseStatus status, String reason) {
     return plainText(status, new DefaultHttpHeaders(), reason);
   }
 
   /** Answers that no route matches the request. */
-  static CallerAnswer noRoute() {
+  static CallerResponse noRoute() {
     return plainText(HttpResponseStatus.NOT_FOUND, new DefaultHttpHeaders(), "no_route");
   }
 
@@ -54,9 +54,9 @@
         || status == HttpResponseStatus.SERVICE_UNAVAILABLE.code();
   }
 
-  private static CallerAnswer plainText(
+  private static CallerResponse plainText(
       HttpResponseStatus status, HttpHeaders headers, String body) {
     headers.set(HttpHeaderNames.CONTENT_TYPE, "text/plain");
-    return new CallerAnswer(status, headers, body.getBytes(StandardCharsets.UTF_8));
+    return new CallerResponse(status, headers, body.getBytes(StandardCharsets.UTF_8));
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/request/CrashDetector.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/CrashDetector.java
@@ -45,7 +45,7 @@
   void connectionBroken(ServerPool pool, boolean trial) {
     String server = pool.state().entry().incarnation();
     crashes.perhapsEnded(server);
-    pool.findWhetherEnded(
+    pool.checkCrashed(
         crashed -> {
           if (crashed) {
             environment.servers().recordUnreachable(pool.state());
--- a/front/src/main/java/org/magnoliaswitch/front/request/Exchange.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Exchange.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.magnoliaswitch.front.connection.CallerAnswer;
 import org.magnoliaswitch.front.connection.CallerRequest;
+import org.magnoliaswitch.front.connection.CallerResponse;
 import org.magnoliaswitch.front.connection.RequestHandler;
 import org.magnoliaswitch.front.load.PendingQueue;
 import org.magnoliaswitch.front.load.RetryAfter;
@@ -36,7 +36,7 @@
   private final ServerFinder finder;
   private final PendingQueue<RequestPlacement> pendingQueue;
   private final CallerRequest request;
-  private final Consumer<CallerAnswer> answer;
+  private final Consumer<CallerResponse> answer;
   private final RequestReport report;
   private Optional<RoutedExchange> routed = Optional.empty();
   private boolean done;
@@ -46,7 +46,7 @@
       ServerFinder finder,
       PendingQueue<RequestPlacement> pendingQueue,
       CallerRequest request,
-      Consumer<CallerAnswer> answer) {
+      Consumer<CallerResponse> answer) {
     this.environment = environment;
     this.finder = finder;
     this.pendingQueue = pendingQueue;
@@ -85,7 +85,7 @@
     if (age > MAX_CONFIGURATION_AGE_MILLIS) {
       refuse("stale_configuration");
     } else {
-      finish(CallerAnswers.noRoute(), "no_route");
+      finish(CallerResponses.noRoute(), "no_route");
     }
   }
 
@@ -105,13 +105,13 @@
             environment.random(),
             environment.settings().mechanisms());
     report.requestRefused("", reason, waitedNanos(), retryAfter);
-    finish(CallerAnswers.notExecuted(reason, retryAfter), reason);
+    finish(CallerResponses.notExecuted(reason, retryAfter), reason);
   }
 
   @Override
-  public void callerLeft() {
+  public void callerDisconnected() {
     if (routed.isPresent()) {
-      routed.get().callerLeft();
+      routed.get().callerDisconnected();
     } else if (!done) {
       done = true;
       reportEnd("caller_left", 0);
@@ -123,7 +123,7 @@
     routed.ifPresent(RoutedExchange::crashesChanged);
   }
 
-  private void finish(CallerAnswer result, String outcome) {
+  private void finish(CallerResponse result, String outcome) {
     done = true;
     reportEnd(outcome, result.status().code());
     answer.accept(result);
--- a/front/src/main/java/org/magnoliaswitch/front/request/ExecutionState.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/ExecutionState.java
@@ -3,19 +3,19 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
-import org.magnoliaswitch.front.connection.CallerAnswer;
+import org.magnoliaswitch.front.connection.CallerResponse;
 
 /** Records what the attempts of a request revealed about its execution, for its final answer. */
 final class ExecutionState {
   private boolean possiblyExecuted;
-  private @Nullable CallerAnswer serverFailure;
+  private @Nullable CallerResponse serverFailure;
 
   /**
    * A final answer.
    *
    * @param outcome the outcome as logged, a single word
    */
-  record FinalAnswer(CallerAnswer answer, String outcome) {}
+  record FinalAnswer(CallerResponse answer, String outcome) {}
 
   /** Records an attempt that brought no answer after a part of the request was written. */
   void attemptBroken() {
@@ -23,7 +23,7 @@
   }
 
   /** Records a server that executed the request and answered with a failure. */
-  void serverFailed(CallerAnswer failure) {
+  void serverFailed(CallerResponse failure) {
     possiblyExecuted = true;
     serverFailure = failure;
   }
@@ -41,7 +41,7 @@
       return Optional.of(new FinalAnswer(serverFailure, RequestReport.SERVER_FAILED));
     }
     return possiblyExecuted || written
-        ? Optional.of(new FinalAnswer(CallerAnswers.possiblyExecuted(status, reason), reason))
+        ? Optional.of(new FinalAnswer(CallerResponses.possiblyExecuted(status, reason), reason))
         : Optional.empty();
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/request/FirstConfigurationWait.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/FirstConfigurationWait.java
@@ -53,7 +53,7 @@
   }
 
   private long maxWaitNanos() {
-    return environment.settings().mechanisms().on(Mechanism.FIRST_CONFIGURATION)
+    return environment.settings().mechanisms().enabled(Mechanism.FIRST_CONFIGURATION)
         ? MAX_WAIT_NANOS
         : 0;
   }
--- a/front/src/main/java/org/magnoliaswitch/front/request/FurtherAttempts.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/FurtherAttempts.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import org.magnoliaswitch.core.process.RequestCrashes;
-import org.magnoliaswitch.front.load.Fallback;
+import org.magnoliaswitch.front.load.CallerRetry;
 import org.magnoliaswitch.front.load.Mechanism;
 import org.magnoliaswitch.front.load.SharedRetryBudget;
 import org.magnoliaswitch.front.process.Environment;
@@ -48,8 +48,8 @@
    * charged to the retry budget.
    */
   boolean mayRetryAfterRejection() {
-    boolean prioritized = environment.settings().mechanisms().on(Mechanism.LAST_TRIES_FIRST);
-    return mayRetry(prioritized ? times.fallback() : Fallback.NONE);
+    boolean prioritized = environment.settings().mechanisms().enabled(Mechanism.LAST_TRIES_FIRST);
+    return mayRetry(prioritized ? times.callerRetry() : CallerRetry.NONE);
   }
 
   /**
@@ -57,7 +57,7 @@
    * attempt is charged to the retry budget.
    */
   boolean mayRetry() {
-    return mayRetry(Fallback.NONE);
+    return mayRetry(CallerRetry.NONE);
   }
 
   /**
@@ -72,14 +72,14 @@
     return mayRetry();
   }
 
-  private boolean mayRetry(Fallback fallback) {
-    Optional<String> denialReason = denialReason(fallback);
+  private boolean mayRetry(CallerRetry callerRetry) {
+    Optional<String> denialReason = denialReason(callerRetry);
     denialReason.ifPresent(
         reason -> report.furtherAttemptDenied(service, reason, times.remainingNanos()));
     return denialReason.isEmpty();
   }
 
-  private Optional<String> denialReason(Fallback fallback) {
+  private Optional<String> denialReason(CallerRetry callerRetry) {
     if (attempts >= route.maxServers()) {
       return Optional.of("most_servers");
     }
@@ -91,9 +91,9 @@
     }
     SharedRetryBudget budget = environment.routeState().budget(service);
     long now = environment.clocks().nanos();
-    if (budget.spend(fallback, environment.instances().count(), now)) {
+    if (budget.trySpend(callerRetry, environment.instances().count(), now)) {
       return Optional.empty();
     }
-    return Optional.of(fallback == Fallback.NONE ? "no_budget" : "caller_returns");
+    return Optional.of(callerRetry == CallerRetry.NONE ? "no_budget" : "caller_returns");
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/request/LoadProber.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/LoadProber.java
@@ -17,8 +17,8 @@
 import org.magnoliaswitch.front.connection.ServerReply;
 import org.magnoliaswitch.front.load.LoadSample;
 import org.magnoliaswitch.front.load.ProbeShare;
-import org.magnoliaswitch.front.load.RateLimit;
 import org.magnoliaswitch.front.load.ServerState;
+import org.magnoliaswitch.front.load.TokenBucket;
 import org.magnoliaswitch.front.process.Environment;
 
 /**
@@ -48,7 +48,7 @@
   private static final String MILLIS_PATTERN = "[0-9]{1,9}([.][0-9]{1,9})?";
 
   private final Environment environment;
-  private final Map<ServerState, RateLimit> limits = new WeakHashMap<>();
+  private final Map<ServerState, TokenBucket> limits = new WeakHashMap<>();
 
   LoadProber(Environment environment) {
     this.environment = environment;
@@ -83,13 +83,13 @@
             environment.instances().count(),
             environment.servers().subsetShare(pool.state().entry().service()));
     return limits
-        .computeIfAbsent(pool.state(), server -> new RateLimit(BURST, now))
-        .take(perSecond, now);
+        .computeIfAbsent(pool.state(), server -> new TokenBucket(BURST, now))
+        .tryTake(perSecond, now);
   }
 
   /** Whether a server may be probed now; checked again once a connection for the probe is open. */
   private boolean acceptsProbes(ServerState server) {
-    return server.acceptsWork() && server.backpressure().allowsChecks(environment.clocks().nanos());
+    return server.acceptsWork() && server.backpressure().allowsProbes(environment.clocks().nanos());
   }
 
   /** The probes that are sent for one choice. */
@@ -103,7 +103,7 @@
     }
 
     void probe(ServerPool pool, String healthPath) {
-      Optional<ServerConnection> idle = pool.takeIdle(MAX_IDLE_NANOS);
+      Optional<ServerConnection> idle = pool.acquireIdle(MAX_IDLE_NANOS);
       if (idle.isPresent()) {
         outstanding++;
         probe(pool, idle.get(), healthPath);
@@ -124,7 +124,7 @@
       if (acceptsProbes(pool.state())) {
         probe(pool, opened, healthPath);
       } else {
-        pool.giveBack(opened);
+        pool.release(opened);
         probeEnded();
       }
     }
@@ -179,9 +179,9 @@
 
     void handleReply(ServerReply reply) {
       ended = true;
-      boolean answered = reply instanceof ServerReply.Whole;
+      boolean answered = reply instanceof ServerReply.Complete;
       environment.metrics().count("probes", service(), answered ? "answered" : "broken");
-      if (reply instanceof ServerReply.Whole whole) {
+      if (reply instanceof ServerReply.Complete whole) {
         recordAnswer(whole);
       }
       round.probeEnded();
@@ -203,22 +203,22 @@
     }
 
     private void recordSample(LoadSample sample, int ownInFlight) {
-      pool.state().sampled(sample, ownInFlight, environment.clocks().nanos());
-      environment.routeState().load(service()).sampled(sample);
+      pool.state().recordSample(sample, ownInFlight, environment.clocks().nanos());
+      environment.routeState().load(service()).recordSample(sample);
     }
 
     private void recordWarmup(@Nullable String remainingMillis) {
       if (remainingMillis != null && remainingMillis.matches(MILLIS_PATTERN)) {
         long remainingNanos =
             TimeUnit.MILLISECONDS.toNanos((long) Double.parseDouble(remainingMillis));
-        pool.state().warmupTold(remainingNanos, environment.clocks().nanos());
+        pool.state().recordWarmup(remainingNanos, environment.clocks().nanos());
       }
     }
 
-    private void recordAnswer(ServerReply.Whole answer) {
+    private void recordAnswer(ServerReply.Complete answer) {
       String id = answer.headers().get(environment.names().serverId());
       if (id != null && !id.equals(pool.state().entry().id())) {
-        pool.state().markGone();
+        pool.state().markRemoved();
         environment
             .log()
             .stateChange("server_replaced")
@@ -231,7 +231,7 @@
       recordWarmup(answer.headers().get(environment.names().warmupLeft()));
       String load = answer.headers().get(environment.names().load());
       if (load == null) {
-        environment.routeState().load(service()).toldNothing();
+        environment.routeState().load(service()).markNotReporting();
       } else {
         int ownInFlight = pool.state().inFlight();
         LoadSample.parse(load).ifPresent(sample -> recordSample(sample, ownInFlight));
--- a/front/src/main/java/org/magnoliaswitch/front/request/NoticeHeaders.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/NoticeHeaders.java
@@ -21,7 +21,7 @@
   private NoticeHeaders() {}
 
   /** The notice in an answer; a value that is not a valid number is ignored. */
-  static ServerNotice read(ServerReply.Whole answer, HeaderNames names) {
+  static ServerNotice read(ServerReply.Complete answer, HeaderNames names) {
     boolean leaving = !answer.headers().get(names.leaving(), NOT_LEAVING).equals(NOT_LEAVING);
     Optional<Double> limit = decimal(answer.headers().get(names.requestLimit()));
     OptionalLong pause =
@@ -32,7 +32,7 @@
         leaving, limit.map(OptionalDouble::of).orElseGet(OptionalDouble::empty), pause.orElse(0));
   }
 
-  private static boolean rejected(ServerReply.Whole answer) {
+  private static boolean rejected(ServerReply.Complete answer) {
     int status = answer.status().code();
     return status == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
         || status == HttpResponseStatus.TOO_MANY_REQUESTS.code();
--- a/front/src/main/java/org/magnoliaswitch/front/request/RequestPlacement.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RequestPlacement.java
@@ -122,7 +122,7 @@
    * Offers free capacity, reported by an answer of the server, to the first request in the queue.
    */
   void offerCapacity(ServerState server) {
-    Optional<RequestPlacement> first = pendingQueue.first(service);
+    Optional<RequestPlacement> first = pendingQueue.peek(service);
     if (first.isPresent() && finder.isSuitable(server, first.get().query())) {
       // Deferred, so that the connection that brought the answer is back in its pool.
       loop.execute(() -> first.get().acceptOffer(server));
@@ -179,7 +179,7 @@
             times.usualLatencyNanos(),
             route.objectiveNanos(),
             times.callerTimeoutNanos());
-    if (times.waitedNanos() + minWaitNanos > limit || !mechanisms.on(Mechanism.WAITING)) {
+    if (times.waitedNanos() + minWaitNanos > limit || !mechanisms.enabled(Mechanism.WAITING)) {
       owner.giveUp("no_room", RetryAfter.Cause.BUSY);
       return;
     }
--- a/front/src/main/java/org/magnoliaswitch/front/request/RequestTimes.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RequestTimes.java
@@ -2,7 +2,7 @@
 
 import java.util.OptionalLong;
 import org.magnoliaswitch.front.connection.CallerRequest;
-import org.magnoliaswitch.front.load.Fallback;
+import org.magnoliaswitch.front.load.CallerRetry;
 import org.magnoliaswitch.front.load.Timeliness;
 import org.magnoliaswitch.front.process.Environment;
 import org.magnoliaswitch.front.version.Route;
@@ -57,8 +57,8 @@
   }
 
   /** Whether the caller can still be served by retrying if the request is refused now. */
-  Fallback fallback() {
-    return Fallback.of(usedConnection, spentNanos, remainingNanos(), usualLatencyNanos());
+  CallerRetry callerRetry() {
+    return CallerRetry.of(usedConnection, spentNanos, remainingNanos(), usualLatencyNanos());
   }
 
   /** Whether the request can still be answered within its objective. */
--- a/front/src/main/java/org/magnoliaswitch/front/request/RoutedExchange.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RoutedExchange.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import org.magnoliaswitch.core.crash.Verdict;
-import org.magnoliaswitch.front.connection.CallerAnswer;
 import org.magnoliaswitch.front.connection.CallerRequest;
+import org.magnoliaswitch.front.connection.CallerResponse;
 import org.magnoliaswitch.front.connection.ServerPool;
 import org.magnoliaswitch.front.connection.ServerReply;
 import org.magnoliaswitch.front.load.HedgeDelay;
@@ -40,7 +40,7 @@
   private final Environment environment;
   private final CallerRequest request;
   private final Route route;
-  private final Consumer<CallerAnswer> answer;
+  private final Consumer<CallerResponse> answer;
   private final RequestReport report;
   private final CrashDetector crashDetector;
   private final RequestTimes times;
@@ -61,7 +61,7 @@
       CallerRequest request,
       Route route,
       RequestReport report,
-      Consumer<CallerAnswer> answer) {
+      Consumer<CallerResponse> answer) {
     this.environment = environment;
     this.request = request;
     this.route = route;
@@ -88,7 +88,7 @@
   }
 
   private Optional<HedgeSearch> hedgeSearch() {
-    boolean allowed = environment.settings().mechanisms().on(Mechanism.HEDGING);
+    boolean allowed = environment.settings().mechanisms().enabled(Mechanism.HEDGING);
     return allowed && route.idempotent()
         ? Optional.of(new HedgeSearch(this, environment.loop(), placement, times))
         : Optional.empty();
@@ -96,12 +96,12 @@
 
   /** Starts the search for a server. */
   void start() {
-    environment.routeState().budget(service).request(environment.clocks().nanos());
+    environment.routeState().budget(service).recordRequest(environment.clocks().nanos());
     placement.place();
   }
 
   /** Called when the caller has left, so that nobody waits for the answer any more. */
-  void callerLeft() {
+  void callerDisconnected() {
     if (done) {
       return;
     }
@@ -249,14 +249,14 @@
     }
   }
 
-  void answered(Attempt attempt, ServerReply.Whole serverAnswer) {
+  void answered(Attempt attempt, ServerReply.Complete serverAnswer) {
     openAttempts.remove(attempt);
     if (done) {
       return;
     }
     boolean failed =
         serverAnswer.status().code() >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
-    CallerAnswer result = CallerAnswers.forwarded(serverAnswer);
+    CallerResponse result = CallerResponses.forwarded(serverAnswer);
     if (failed) {
       executionState.serverFailed(result);
     }
@@ -314,7 +314,7 @@
   private void refuse(String reason, long retryAfterNanos) {
     long waitedNanos = environment.clocks().nanos() - request.readNanos();
     report.requestRefused(service, reason, waitedNanos, retryAfterNanos);
-    finish(CallerAnswers.notExecuted(reason, retryAfterNanos), reason);
+    finish(CallerResponses.notExecuted(reason, retryAfterNanos), reason);
   }
 
   private long retryAfterNanos(RetryAfter.Cause cause) {
@@ -339,7 +339,7 @@
     cancelled.forEach(attempt -> attempt.callerTimedOut(route.idempotent()));
   }
 
-  private void finish(CallerAnswer result, String outcome) {
+  private void finish(CallerResponse result, String outcome) {
     if (done) {
       return;
     }
--- a/front/src/main/java/org/magnoliaswitch/front/request/ServerSearch.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/ServerSearch.java
@@ -10,7 +10,7 @@
 import org.magnoliaswitch.front.load.Placement;
 import org.magnoliaswitch.front.load.Placement.Ranked;
 import org.magnoliaswitch.front.load.PlacementContext;
-import org.magnoliaswitch.front.load.Selection;
+import org.magnoliaswitch.front.load.ServerSelection;
 import org.magnoliaswitch.front.load.ServerState;
 import org.magnoliaswitch.front.load.Timeliness;
 import org.magnoliaswitch.front.process.Environment;
@@ -53,10 +53,10 @@
       }
       List<Ranked> ranked = rank(query, excluded);
       boolean probeable = policy.isPresent();
-      Selection.Step step = Selection.next(ranked, context(query), round, probeable);
-      if (step instanceof Selection.Step.Ask ask && policy.isPresent()) {
+      ServerSelection.Step step = ServerSelection.next(ranked, context(query), round, probeable);
+      if (step instanceof ServerSelection.Step.Probe ask && policy.isPresent()) {
         probe(ask.servers(), policy.get(), round + 1);
-      } else if (step instanceof Selection.Step.None) {
+      } else if (step instanceof ServerSelection.Step.NoServer) {
         found.accept(resultIfNoneAllowed(query, excluded));
       } else {
         found.accept(result(step));
@@ -78,7 +78,7 @@
     long now = environment.clocks().nanos();
     List<ServerPool> unknown =
         environment.servers().of(query.service()).stream()
-            .filter(pool -> isEligible(pool.state(), query) && pool.state().coldnessUnknown(now))
+            .filter(pool -> isEligible(pool.state(), query) && pool.state().warmupUnconfirmed(now))
             .limit(MAX_UNKNOWN_PROBED)
             .toList();
     if (!unknown.isEmpty()) {
@@ -86,19 +86,19 @@
     }
   }
 
-  private static Result result(Selection.Step step) {
+  private static Result result(ServerSelection.Step step) {
     return switch (step) {
-      case Selection.Step.Send send -> new Result.Chosen(send.server());
-      case Selection.Step.Full full -> new Result.Full(0);
-      case Selection.Step.None none -> new Result.None();
-      case Selection.Step.Ask ask -> new Result.Full(0);
+      case ServerSelection.Step.Send send -> new Result.Chosen(send.server());
+      case ServerSelection.Step.AllBusy full -> new Result.Full(0);
+      case ServerSelection.Step.NoServer none -> new Result.None();
+      case ServerSelection.Step.Probe ask -> new Result.Full(0);
     };
   }
 
   @Override
   public void recordFirstSearch(String service, Timeliness timeliness, boolean found) {
     if (timeliness == Timeliness.IN_TIME) {
-      environment.routeState().load(service).sought(found);
+      environment.routeState().load(service).recordSearch(found);
     }
   }
 
@@ -107,8 +107,9 @@
     PlacementContext context = context(query);
     return isEligible(server, query)
         && environment.quotas().allowed(server)
-        && Placement.fits(server, context)
-        && (AdmissionLimit.hasRoom(server, context) || AdmissionLimit.mayFill(server, context));
+        && Placement.expectedInTime(server, context)
+        && (AdmissionLimit.hasCapacity(server, context)
+            || AdmissionLimit.mayExceedKnee(server, context));
   }
 
   private List<Ranked> rank(ServerQuery query, Set<String> excluded) {
--- a/front/src/test/java/org/magnoliaswitch/front/load/LoadReplayTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/LoadReplayTest.java
@@ -70,7 +70,7 @@
       for (int instance = 0; instance < INSTANCES; instance++) {
         List<ServerState> own = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
-          own.add(Servers.told("s" + i, 0, 1, 0));
+          own.add(Servers.reporting("s" + i, 0, 1, 0));
         }
         states.add(own);
         loads.add(new ServiceLoad());
@@ -101,15 +101,15 @@
             inTime += now - job.arrivedMillis() <= OBJECTIVE_MILLIS ? 1 : 0;
             ServerState state = states.get(job.instance()).get(server);
             sample(job.instance(), server, nanos(now));
-            state.ended();
+            state.requestEnded();
           });
     }
 
     private void sample(int instance, int server, long now) {
       ServerState state = states.get(instance).get(server);
       LoadSample sample = models.get(server).sample();
-      state.sampled(sample, state.inFlight(), now);
-      loads.get(instance).sampled(sample);
+      state.recordSample(sample, state.inFlight(), now);
+      loads.get(instance).recordSample(sample);
     }
 
     private void offer(double now) {
@@ -120,7 +120,7 @@
       if (chosen.isPresent()) {
         int server = states.get(instance).indexOf(chosen.get());
         if (models.get(server).take(new ServerModel.Job(instance, now, Math.max(20, work)))) {
-          chosen.get().sent();
+          chosen.get().requestStarted();
         }
       }
     }
@@ -144,7 +144,7 @@
       PlacementContext context = context(instance, now);
       return ranked.stream()
           .map(Ranked::server)
-          .filter(server -> AdmissionLimit.hasRoom(server, context))
+          .filter(server -> AdmissionLimit.hasCapacity(server, context))
           .findFirst();
     }
 
--- a/front/src/test/java/org/magnoliaswitch/front/process/ShareCacheTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ShareCacheTest.java
@@ -2,8 +2,8 @@
 
 import static org.testng.Assert.assertEquals;
 
-import org.magnoliaswitch.front.load.InstancePlace;
-import org.magnoliaswitch.front.testing.PausedClock;
+import org.magnoliaswitch.front.load.InstanceIndex;
+import org.magnoliaswitch.front.testing.ManualClock;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
@@ -16,7 +16,7 @@
   @BeforeMethod
   public void start() {
     workedOut = 0;
-    instances = new InstanceCount(2, new PausedClock().clocks());
+    instances = new InstanceCount(2, new ManualClock().clocks());
     shares = new ShareCache<>(instances, key -> ++workedOut);
   }
 
@@ -33,7 +33,7 @@
     shares.of("a");
     instances.learnt(3);
     shares.of("a");
-    instances.placed(new InstancePlace(1, 3));
+    instances.placed(new InstanceIndex(1, 3));
     shares.of("a");
     assertEquals(workedOut, 3);
   }
--- a/front/src/test/java/org/magnoliaswitch/front/request/CrashingRequestTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/CrashingRequestTest.java
@@ -17,8 +17,8 @@
 import org.magnoliaswitch.core.crash.CrashReport;
 import org.magnoliaswitch.core.crash.RequestIdentity;
 import org.magnoliaswitch.core.process.CrashWatch;
-import org.magnoliaswitch.front.connection.CallerAnswer;
 import org.magnoliaswitch.front.connection.CallerRequest;
+import org.magnoliaswitch.front.connection.CallerResponse;
 import org.magnoliaswitch.front.connection.RequestHandler;
 import org.magnoliaswitch.front.process.Environment;
 import org.magnoliaswitch.front.testing.RunningFront;
@@ -159,13 +159,15 @@
     private static final Route IDEMPOTENT_ROUTE = route(true);
     private static final Route NON_IDEMPOTENT_ROUTE = route(false);
     private static final RequestIdentity IDENTITY = request(0).identity();
-    private static final RequestIdentity OF_CALLER = IDENTITY.by("127.0.0.1");
+    private static final RequestIdentity OF_CALLER = IDENTITY.forCaller("127.0.0.1");
     private static final List<CrashReport> TWO_CRASHES =
         List.of(
-            new CrashReport.Ended(IDENTITY, "x@0", false),
-            new CrashReport.Ended(IDENTITY, "y@0", false));
+            new CrashReport.Crashed(IDENTITY, "x@0", false),
+            new CrashReport.Crashed(IDENTITY, "y@0", false));
     private static final List<CrashReport> TRIAL_CRASHED =
-        List.of(new CrashReport.Tried(IDENTITY, 1), new CrashReport.Ended(IDENTITY, "z@0", true));
+        List.of(
+            new CrashReport.TrialStarted(IDENTITY, 1),
+            new CrashReport.Crashed(IDENTITY, "z@0", true));
 
     private static Route route(boolean idempotent) {
       long minute = TimeUnit.MINUTES.toNanos(1);
@@ -199,9 +201,9 @@
       }
     }
 
-    private static CompletableFuture<CallerAnswer> dispatch(
+    private static CompletableFuture<CallerResponse> dispatch(
         Environment environment, RequestHandler handler) {
-      CompletableFuture<CallerAnswer> answer = new CompletableFuture<>();
+      CompletableFuture<CallerResponse> answer = new CompletableFuture<>();
       CallerRequest request = request(environment.clocks().nanos());
       environment.loop().execute(() -> handler.start(request, answer::complete));
       return answer;
@@ -216,13 +218,13 @@
       HoldingServer holding = new HoldingServer();
       try (ScriptedServer server = new ScriptedServer("a", holding::handle)) {
         Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, server);
-        CompletableFuture<CallerAnswer> answer =
+        CompletableFuture<CallerResponse> answer =
             dispatch(environment, new FrontDispatcher(environment));
         holding.arrived.acquire();
         environment.crashes().heard(TWO_CRASHES, CrashWatch.Source.PEER);
         holding.released.countDown();
         assertEquals(answer.join().status().code(), 200);
-        assertEquals(environment.crashes().table().endsUnder(IDENTITY), Set.of());
+        assertEquals(environment.crashes().table().serversCrashedDuring(IDENTITY), Set.of());
         environment.loop().stop();
       }
     }
@@ -236,13 +238,13 @@
       HoldingServer holding = new HoldingServer();
       try (ScriptedServer server = new ScriptedServer("a", holding::handle)) {
         Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, server);
-        CompletableFuture<CallerAnswer> answer =
+        CompletableFuture<CallerResponse> answer =
             dispatch(environment, new FrontDispatcher(environment));
         holding.arrived.acquire();
         List<CrashReport> twoCrashes =
             List.of(
-                new CrashReport.Ended(OF_CALLER, "x@0", false),
-                new CrashReport.Ended(OF_CALLER, "y@0", false));
+                new CrashReport.Crashed(OF_CALLER, "x@0", false),
+                new CrashReport.Crashed(OF_CALLER, "y@0", false));
         environment.crashes().heard(twoCrashes, CrashWatch.Source.PEER);
         assertEquals(answer.join().status().code(), 502);
         holding.released.countDown();
@@ -259,7 +261,7 @@
       HoldingServer holding = new HoldingServer();
       try (ScriptedServer server = new ScriptedServer("a", holding::handle)) {
         Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, server);
-        CompletableFuture<CallerAnswer> answer =
+        CompletableFuture<CallerResponse> answer =
             dispatch(environment, new FrontDispatcher(environment));
         holding.arrived.acquire();
         environment.crashes().heard(TWO_CRASHES, CrashWatch.Source.PEER);
@@ -282,9 +284,9 @@
         Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, a, b);
         environment.crashes().heard(TWO_CRASHES, CrashWatch.Source.PEER);
         FrontDispatcher handler = new FrontDispatcher(environment);
-        CompletableFuture<CallerAnswer> first = dispatch(environment, handler);
+        CompletableFuture<CallerResponse> first = dispatch(environment, handler);
         holding.arrived.acquire();
-        CompletableFuture<CallerAnswer> second = dispatch(environment, handler);
+        CompletableFuture<CallerResponse> second = dispatch(environment, handler);
         holding.released.countDown();
         assertEquals(first.join().status().code(), 200);
         assertEquals(second.join().status().code(), 200);
@@ -306,8 +308,8 @@
         environment.crashes().heard(TWO_CRASHES, CrashWatch.Source.PEER);
         environment
             .crashes()
-            .heard(List.of(new CrashReport.Tried(IDENTITY, 1)), CrashWatch.Source.PEER);
-        CompletableFuture<CallerAnswer> answer =
+            .heard(List.of(new CrashReport.TrialStarted(IDENTITY, 1)), CrashWatch.Source.PEER);
+        CompletableFuture<CallerResponse> answer =
             dispatch(environment, new FrontDispatcher(environment));
         environment.crashes().heard(TRIAL_CRASHED, CrashWatch.Source.PEER);
         assertEquals(answer.join().status().code(), 503);
--- a/front/src/test/java/org/magnoliaswitch/front/request/FirstConfigurationWaitTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/FirstConfigurationWaitTest.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.magnoliaswitch.front.connection.CallerAnswer;
 import org.magnoliaswitch.front.connection.CallerRequest;
+import org.magnoliaswitch.front.connection.CallerResponse;
 import org.magnoliaswitch.front.process.Environment;
 import org.magnoliaswitch.front.testing.ScriptedServer;
 import org.magnoliaswitch.front.testing.TestEnvironment;
@@ -36,8 +36,8 @@
         "127.0.0.1");
   }
 
-  private static BlockingQueue<CallerAnswer> dispatch(Environment environment) {
-    BlockingQueue<CallerAnswer> answers = new ArrayBlockingQueue<>(1);
+  private static BlockingQueue<CallerResponse> dispatch(Environment environment) {
+    BlockingQueue<CallerResponse> answers = new ArrayBlockingQueue<>(1);
     FrontDispatcher dispatcher = new FrontDispatcher(environment);
     environment.loop().execute(() -> dispatcher.start(request(environment), answers::add));
     return answers;
@@ -51,9 +51,9 @@
   @Test
   public void requestsWaitForTheFirstConfiguration() throws IOException, InterruptedException {
     try (ScriptedServer server = new ScriptedServer("a", r -> r.answer(200, "x"))) {
-      Environment environment = TestEnvironment.unknowing();
-      BlockingQueue<CallerAnswer> answers = dispatch(environment);
-      environment.loop().execute(() -> TestEnvironment.know(environment, ROUTE, server));
+      Environment environment = TestEnvironment.withoutConfiguration();
+      BlockingQueue<CallerResponse> answers = dispatch(environment);
+      environment.loop().execute(() -> TestEnvironment.configure(environment, ROUTE, server));
       assertEquals(answers.take().status().code(), 200);
       environment.loop().stop();
     }
@@ -62,8 +62,8 @@
   /** Without any configuration, the caller must soon be told that its request was not executed. */
   @Test
   public void requestsAreRefusedWithoutAConfiguration() throws InterruptedException {
-    Environment environment = TestEnvironment.unknowing();
-    CallerAnswer answer = dispatch(environment).take();
+    Environment environment = TestEnvironment.withoutConfiguration();
+    CallerResponse answer = dispatch(environment).take();
     assertEquals(answer.status().code(), 503);
     assertFalse(answer.headers().get("Retry-After").isEmpty());
     environment.loop().stop();
@@ -76,7 +76,7 @@
    */
   @Test
   public void noRequestIsIdempotentBeforeTheFirstConfiguration() {
-    Environment environment = TestEnvironment.unknowing();
+    Environment environment = TestEnvironment.withoutConfiguration();
     assertFalse(new FrontDispatcher(environment).idempotent(request(environment)));
     environment.loop().stop();
   }
--- a/front/src/test/java/org/magnoliaswitch/front/request/NoticeHeadersTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/NoticeHeadersTest.java
@@ -20,7 +20,7 @@
   private static ServerNotice read(int status, HttpHeaders headers) {
     HttpResponseStatus responseStatus = HttpResponseStatus.valueOf(status);
     return NoticeHeaders.read(
-        new ServerReply.Whole(responseStatus, headers, new byte[0]), TestHeaders.NAMES);
+        new ServerReply.Complete(responseStatus, headers, new byte[0]), TestHeaders.NAMES);
   }
 
   private static ServerNotice readHeader(int status, String name, String value) {
--- a/front/src/test/java/org/magnoliaswitch/front/request/PausedServerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/PausedServerTest.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.magnoliaswitch.front.connection.CallerAnswer;
+import org.magnoliaswitch.front.connection.CallerResponse;
 import org.magnoliaswitch.front.load.ServerNotice;
 import org.magnoliaswitch.front.load.ServerState;
 import org.magnoliaswitch.front.process.Environment;
@@ -65,7 +65,7 @@
     try (ScriptedServer rejecting = new ScriptedServer("a", PausedServerTest::rejecting)) {
       Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, rejecting);
       for (int i = 0; i < REQUESTS; i++) {
-        CallerAnswer answer = Requests.ask(environment).join();
+        CallerResponse answer = Requests.ask(environment).join();
         assertEquals(answer.status().code(), 503);
         assertTrue(answer.headers().contains("Retry-After"));
       }
@@ -94,7 +94,7 @@
           .set(
               new RouteTable(
                   2, List.of(NON_IDEMPOTENT_ROUTE), List.of(policy), CallerLimits.DEFAULT));
-      CompletableFuture<CallerAnswer> answer = Requests.ask(environment);
+      CompletableFuture<CallerResponse> answer = Requests.ask(environment);
       environment.loop().execute(() -> pause(environment));
       assertEquals(answer.join().status().code(), 503);
       assertEquals(healthChecks.get(), 0);
@@ -106,6 +106,6 @@
     ServerState state = environment.servers().of("s").getFirst().state();
     ServerNotice notice =
         new ServerNotice(false, OptionalDouble.empty(), TimeUnit.MINUTES.toNanos(2));
-    state.backpressure().take(notice, environment.clocks().nanos());
+    state.backpressure().recordNotice(notice, environment.clocks().nanos());
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/request/RestartedServerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/RestartedServerTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
-import org.magnoliaswitch.front.connection.CallerAnswer;
+import org.magnoliaswitch.front.connection.CallerResponse;
 import org.magnoliaswitch.front.load.ServerState;
 import org.magnoliaswitch.front.process.Environment;
 import org.magnoliaswitch.front.testing.Requests;
@@ -67,7 +67,7 @@
     try (ScriptedServer old = new ScriptedServer("a", crash);
         ScriptedServer restarted = new ScriptedServer("a", SUCCEED)) {
       Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, old);
-      CompletableFuture<CallerAnswer> answer = Requests.ask(environment);
+      CompletableFuture<CallerResponse> answer = Requests.ask(environment);
       old.awaitFirst();
       restart(environment, restarted);
       released.countDown();
@@ -95,7 +95,7 @@
         ScriptedServer restarted = new ScriptedServer("a", SUCCEED)) {
       Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, old);
       ServerState before = state(environment);
-      CompletableFuture<CallerAnswer> answer = Requests.ask(environment);
+      CompletableFuture<CallerResponse> answer = Requests.ask(environment);
       old.awaitFirst();
       restart(environment, restarted);
       released.countDown();
--- a/front/src/test/java/org/magnoliaswitch/front/request/WaitingRequestTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/WaitingRequestTest.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.magnoliaswitch.front.connection.CallerAnswer;
 import org.magnoliaswitch.front.connection.CallerRequest;
+import org.magnoliaswitch.front.connection.CallerResponse;
 import org.magnoliaswitch.front.load.Mechanisms;
 import org.magnoliaswitch.front.load.PendingQueue;
 import org.magnoliaswitch.front.load.ServerState;
@@ -75,7 +75,7 @@
               environment.clocks().nanos(),
               false,
               "127.0.0.1");
-      Consumer<CallerAnswer> answer = result -> answered.countDown();
+      Consumer<CallerResponse> answer = result -> answered.countDown();
       PendingQueue<RequestPlacement> pendingQueue = new PendingQueue<>(Mechanisms.ALL);
       Exchange exchange = new Exchange(environment, finder, pendingQueue, request, answer);
       environment
@@ -90,7 +90,7 @@
           .loop()
           .execute(
               () -> {
-                pendingQueue.first("s").orElseThrow().acceptOffer(state);
+                pendingQueue.peek("s").orElseThrow().acceptOffer(state);
                 finder.searches.getLast().accept(new ServerFinder.Result.Chosen(state));
               });
       answered.await();
