--- a/front/src/main/java/org/magnoliaswitch/front/process/StateSync.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StateSync.java
@@ -134,7 +134,7 @@
    */
   private void share(CrashWatch.Lesson lesson) {
     if (lesson.source() == CrashWatch.Source.OWN) {
-      archive.own(lesson.news());
+      archive.recordOwn(lesson.news());
       toReport.addAll(lesson.news());
     }
     if (toTell.isEmpty()) {
@@ -210,7 +210,7 @@
   private PeerUpdate known(long version) {
     RouteTable routes = knownState.routes();
     Optional<RouteUpdate> update =
-        version < routes.version() ? Optional.of(new RouteUpdate.Whole(routes)) : Optional.empty();
+        version < routes.version() ? Optional.of(new RouteUpdate.Full(routes)) : Optional.empty();
     return new PeerUpdate(
         reader.ageMillis(),
         environment.instances().count(),
@@ -308,7 +308,7 @@
       most = Math.max(most, count);
     }
     if (most > 1) {
-      environment.instances().learnt(most);
+      environment.instances().update(most);
     }
     firstPlace().ifPresent(this::placed);
   }
--- a/front/src/main/java/org/magnoliaswitch/front/version/Route.java
+++ b/front/src/main/java/org/magnoliaswitch/front/version/Route.java
@@ -4,18 +4,18 @@
 import java.util.Set;
 
 /**
- * How requests for one host and path prefix are treated.
+ * Rules for the requests to one host and path prefix.
  *
  * @param name unique among the routes
  * @param host value of the caller's Host header, in lower case and without a port
  * @param prefix begins and ends with a slash
  * @param idempotent whether a request may run more than once
- * @param timeoutNanos longest time a caller waits for its final answer
- * @param objectiveNanos latency up to which an answer has its full value
+ * @param timeoutNanos maximum time that a caller waits for its final response
+ * @param objectiveNanos latency up to which a response has its full value
  * @param priority rank among routes; 0 is the most urgent
- * @param maxServers most backend servers that one request is sent to
- * @param parts services that share the route's traffic; never empty
- * @param regions the only regions whose servers may get its requests; empty if all may
+ * @param maxServers maximum number of backend servers that one request is sent to
+ * @param services services that share the route's traffic; never empty
+ * @param regions regions whose servers may receive its requests; empty if all may
  */
 public record Route(
     String name,
@@ -26,17 +26,17 @@
     long objectiveNanos,
     int priority,
     int maxServers,
-    List<WeightedService> parts,
+    List<WeightedService> services,
     Set<String> regions) {
   public Route {
-    parts = List.copyOf(parts);
+    services = List.copyOf(services);
     regions = Set.copyOf(regions);
-    if (parts.isEmpty()) {
+    if (services.isEmpty()) {
       throw new IllegalArgumentException("route " + name + " has no service");
     }
   }
 
-  /** A route whose requests may go to servers in all regions. */
+  /** Creates a route whose requests may go to servers in all regions. */
   public Route(
       String name,
       String host,
@@ -46,7 +46,7 @@
       long objectiveNanos,
       int priority,
       int maxServers,
-      List<WeightedService> parts) {
+      List<WeightedService> services) {
     this(
         name,
         host,
@@ -56,12 +56,12 @@
         objectiveNanos,
         priority,
         maxServers,
-        parts,
+        services,
         Set.of());
   }
 
-  /** The same route for servers in some regions only. */
-  public Route within(Set<String> next) {
+  /** Returns a copy of the route for servers in the given regions only. */
+  public Route withRegions(Set<String> allowedRegions) {
     return new Route(
         name,
         host,
@@ -71,11 +71,11 @@
         objectiveNanos,
         priority,
         maxServers,
-        parts,
-        next);
+        services,
+        allowedRegions);
   }
 
-  /** Whether servers in a region may get its requests. */
+  /** Whether servers in a region may receive its requests. */
   public boolean allows(String region) {
     return regions.isEmpty() || regions.contains(region);
   }
