--- a/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
@@ -31,7 +31,7 @@
 
   /**
    * Time for which a server may continue a non-idempotent request after its caller has received the
-   * final answer.
+   * final response.
    */
   private static final long TIMED_OUT_GRACE_MILLIS = 1_500;
 
@@ -105,7 +105,7 @@
     }
   }
 
-  /** Records the answer as late, which makes the server a worse choice for other requests. */
+  /** Records the response as late, which makes the server a worse choice for other requests. */
   void markOverdue(double usualLatencyNanos) {
     long now = environment.clocks().nanos();
     pool.state().recordOverdue((now - sentNanos) / usualLatencyNanos, now);
@@ -129,7 +129,7 @@
   }
 
   /**
-   * Called when the caller got its final answer by a timeout, which makes the work of the server
+   * Called when the caller got its final response by a timeout, which makes the work of the server
    * useless.
    */
   void callerTimedOut(boolean idempotent) {
@@ -146,7 +146,7 @@
   }
 
   private void handleConnected(ServerConnection opened) {
-    if (ended || !exchange.awaitsAnswer() || !pool.state().acceptsWork()) {
+    if (ended || !exchange.awaitsResponse() || !pool.state().acceptsWork()) {
       pool.release(opened);
       if (!ended) {
         end();
@@ -232,7 +232,7 @@
     }
     end();
     switch (reply) {
-      case ServerReply.Complete whole -> handleAnswer(whole);
+      case ServerReply.Complete whole -> handleResponse(whole);
       case ServerReply.Broken broken -> {
         environment.servers().recordFailure(pool.state(), "broken");
         exchange.crashDetector().connectionBroken(pool, trial);
@@ -241,27 +241,27 @@
     }
   }
 
-  private void handleAnswer(ServerReply.Complete answer) {
-    recordLoad(answer);
-    int status = answer.status().code();
+  private void handleResponse(ServerReply.Complete response) {
+    recordLoad(response);
+    int status = response.status().code();
     if (status == HttpResponseStatus.MISDIRECTED_REQUEST.code()) {
       pool.state().markRemoved();
       environment.log().stateChange("server_replaced").add("server", serverId()).write();
       exchange.rejected(this, status);
-    } else if (answer.headers().contains(environment.names().notExecuted())) {
-      environment.notices().received(pool.state(), notice(answer));
+    } else if (response.headers().contains(environment.names().notExecuted())) {
+      environment.notices().received(pool.state(), notice(response));
       environment.servers().recordFailure(pool.state(), "rejected");
       exchange.rejected(this, status);
     } else {
-      environment.notices().answered(pool.state(), notice(answer), sentNanos);
+      environment.notices().answered(pool.state(), notice(response), sentNanos);
       exchange.crashDetector().answered(pool, sentNanos);
       recordResult(status);
-      exchange.answered(this, answer);
+      exchange.answered(this, response);
     }
   }
 
-  private ServerNotice notice(ServerReply.Complete answer) {
-    return NoticeHeaders.read(answer, environment.names());
+  private ServerNotice notice(ServerReply.Complete response) {
+    return NoticeHeaders.read(response, environment.names());
   }
 
   private void recordResult(int status) {
@@ -273,8 +273,8 @@
         environment.clocks().nanos() - sentNanos, slownessWhenSent, pool.state());
   }
 
-  private void recordLoad(ServerReply.Complete answer) {
-    String load = answer.headers().get(environment.names().load());
+  private void recordLoad(ServerReply.Complete response) {
+    String load = response.headers().get(environment.names().load());
     if (load != null) {
       int ownInFlight = pool.state().inFlight();
       LoadSample.parse(load).ifPresent(sample -> recordSample(sample, ownInFlight));
--- a/front/src/main/java/org/magnoliaswitch/front/request/CallerResponses.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/CallerResponses.java
@@ -10,12 +10,13 @@
 import org.magnoliaswitch.front.connection.CallerResponse;
 import org.magnoliaswitch.front.connection.ServerReply;
 
-/** Builds the answers that callers receive. */
+/** Builds the responses that callers receive. */
 final class CallerResponses {
   private CallerResponses() {}
 
   /**
-   * Answers that the request was not executed and never will be, and that the caller may retry.
+   * Creates the response that the request was not executed and never will be, and that the caller
+   * may retry.
    *
    * @param retryAfterNanos time after which the caller may retry
    */
@@ -27,22 +28,22 @@
   }
 
   /**
-   * Forwards the answer of a server to a request that may have been executed. Statuses from which
+   * Forwards the response of a server to a request that may have been executed. Statuses from which
    * callers would conclude that it was not executed are replaced by 502.
    */
-  static CallerResponse forwarded(ServerReply.Complete answer) {
-    return impliesNotExecuted(answer.status().code())
+  static CallerResponse forwarded(ServerReply.Complete response) {
+    return impliesNotExecuted(response.status().code())
         ? possiblyExecuted(HttpResponseStatus.BAD_GATEWAY, "unconfirmed_refusal")
         : new CallerResponse(
-            answer.status(), EndToEndHeaders.copyOf(answer.headers()), answer.body());
+            response.status(), EndToEndHeaders.copyOf(response.headers()), response.body());
   }
 
-  /** Answers that the request may have been executed. */
+  /** Creates the response that the request may have been executed. */
   static CallerResponse possiblyExecuted(HttpResponseStatus status, String reason) {
     return plainText(status, new DefaultHttpHeaders(), reason);
   }
 
-  /** Answers that no route matches the request. */
+  /** Creates the response that no route matches the request. */
   static CallerResponse noRoute() {
     return plainText(HttpResponseStatus.NOT_FOUND, new DefaultHttpHeaders(), "no_route");
   }
--- a/front/src/main/java/org/magnoliaswitch/front/request/CallerTimeout.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/CallerTimeout.java
@@ -7,7 +7,7 @@
 import org.magnoliaswitch.front.version.HeaderNames;
 import org.magnoliaswitch.front.version.Route;
 
-/** Determines how long a caller waits for its answer, and how long it has waited before. */
+/** Determines how long a caller waits for its response, and how long it has waited before. */
 final class CallerTimeout {
   private CallerTimeout() {}
 
--- a/front/src/main/java/org/magnoliaswitch/front/request/Exchange.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Exchange.java
@@ -14,7 +14,7 @@
 import org.magnoliaswitch.front.version.Route;
 
 /**
- * One request of a caller, from its last byte to its final answer. It is delegated to a {@link
+ * One request of a caller, from its last byte to its final response. It is delegated to a {@link
  * RoutedExchange} once its route is known.
  */
 final class Exchange implements RequestHandler.Call {
@@ -36,7 +36,7 @@
   private final ServerFinder finder;
   private final PendingQueue<RequestPlacement> pendingQueue;
   private final CallerRequest request;
-  private final Consumer<CallerResponse> answer;
+  private final Consumer<CallerResponse> respond;
   private final RequestReport report;
   private Optional<RoutedExchange> routed = Optional.empty();
   private boolean done;
@@ -46,12 +46,12 @@
       ServerFinder finder,
       PendingQueue<RequestPlacement> pendingQueue,
       CallerRequest request,
-      Consumer<CallerResponse> answer) {
+      Consumer<CallerResponse> respond) {
     this.environment = environment;
     this.finder = finder;
     this.pendingQueue = pendingQueue;
     this.request = request;
-    this.answer = answer;
+    this.respond = respond;
     String requestId = request.headers().get(environment.names().requestId(), "");
     this.report = new RequestReport(environment, requestId);
   }
@@ -72,7 +72,8 @@
       return;
     }
     RoutedExchange exchange =
-        new RoutedExchange(environment, finder, pendingQueue, request, route.get(), report, answer);
+        new RoutedExchange(
+            environment, finder, pendingQueue, request, route.get(), report, respond);
     routed = Optional.of(exchange);
     exchange.start();
   }
@@ -126,7 +127,7 @@
   private void finish(CallerResponse result, String outcome) {
     done = true;
     reportEnd(outcome, result.status().code());
-    answer.accept(result);
+    respond.accept(result);
   }
 
   private void reportEnd(String outcome, int status) {
--- a/front/src/main/java/org/magnoliaswitch/front/request/ExecutionState.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/ExecutionState.java
@@ -5,19 +5,19 @@
 import org.jspecify.annotations.Nullable;
 import org.magnoliaswitch.front.connection.CallerResponse;
 
-/** Records what the attempts of a request revealed about its execution, for its final answer. */
+/** Records what the attempts of a request revealed about its execution, for its final response. */
 final class ExecutionState {
   private boolean possiblyExecuted;
   private @Nullable CallerResponse serverFailure;
 
   /**
-   * A final answer.
+   * A final response.
    *
    * @param outcome the outcome as logged, a single word
    */
-  record FinalAnswer(CallerResponse answer, String outcome) {}
+  record FinalResponse(CallerResponse response, String outcome) {}
 
-  /** Records an attempt that brought no answer after a part of the request was written. */
+  /** Records an attempt that brought no response after a part of the request was written. */
   void attemptBroken() {
     possiblyExecuted = true;
   }
@@ -29,19 +29,19 @@
   }
 
   /**
-   * The final answer of a request that is given up; empty if it was not executed.
+   * The final response of a request that is given up; empty if it was not executed.
    *
    * @param status status for a request that may have been executed
    * @param written whether a server may be at work on it now
    */
-  Optional<FinalAnswer> finalAnswer(HttpResponseStatus status, String reason, boolean written) {
+  Optional<FinalResponse> finalResponse(HttpResponseStatus status, String reason, boolean written) {
     if (serverFailure != null) {
-      // The server executed the request, so its answer tells the caller more than one of this
+      // The server executed the request, so its response tells the caller more than one of this
       // instance.
-      return Optional.of(new FinalAnswer(serverFailure, RequestReport.SERVER_FAILED));
+      return Optional.of(new FinalResponse(serverFailure, RequestReport.SERVER_FAILED));
     }
     return possiblyExecuted || written
-        ? Optional.of(new FinalAnswer(CallerResponses.possiblyExecuted(status, reason), reason))
+        ? Optional.of(new FinalResponse(CallerResponses.possiblyExecuted(status, reason), reason))
         : Optional.empty();
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/request/FirstConfigurationWait.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/FirstConfigurationWait.java
@@ -33,7 +33,7 @@
   /**
    * Waits, and then runs one of the two actions.
    *
-   * @param stillNeeded whether the request still needs an answer; if not, no action is run
+   * @param stillNeeded whether the request still needs a response; if not, no action is run
    * @param available runs once the configuration and the server list are known
    * @param timedOut runs if they do not become known in time
    */
--- a/front/src/main/java/org/magnoliaswitch/front/request/FrontDispatcher.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/FrontDispatcher.java
@@ -65,8 +65,8 @@
   }
 
   @Override
-  public Call start(CallerRequest request, Consumer<CallerResponse> answer) {
-    ActiveCall call = new ActiveCall(request, answer);
+  public Call start(CallerRequest request, Consumer<CallerResponse> respond) {
+    ActiveCall call = new ActiveCall(request, respond);
     activeExchanges.add(call.exchange);
     call.exchange.start(() -> route(request));
     return call;
@@ -76,7 +76,7 @@
   private final class ActiveCall implements Call {
     private final Exchange exchange;
 
-    ActiveCall(CallerRequest request, Consumer<CallerResponse> answer) {
+    ActiveCall(CallerRequest request, Consumer<CallerResponse> respond) {
       this.exchange =
           new Exchange(
               environment,
@@ -85,7 +85,7 @@
               request,
               result -> {
                 remove();
-                answer.accept(result);
+                respond.accept(result);
               });
     }
 
--- a/front/src/main/java/org/magnoliaswitch/front/request/FurtherAttempts.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/FurtherAttempts.java
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Whether a further attempt is allowed after one that brought no answer or a failure; an allowed
-   * attempt is charged to the retry budget.
+   * Whether a further attempt is allowed after one that brought no response or a failure; an
+   * allowed attempt is charged to the retry budget.
    */
   boolean mayRetry() {
     return mayRetry(CallerRetry.NONE);
--- a/front/src/main/java/org/magnoliaswitch/front/request/HedgeSearch.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/HedgeSearch.java
@@ -27,7 +27,7 @@
 
   /**
    * Searches as long as the late attempt is the only open one, a further attempt is allowed and
-   * there is time left for an answer.
+   * there is time left for a response.
    */
   void search(Attempt late) {
     boolean useful = times.remainingNanos() > times.usualLatencyNanos();
--- a/front/src/main/java/org/magnoliaswitch/front/request/LoadProber.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/LoadProber.java
@@ -25,12 +25,12 @@
  * Probes candidate servers for their load right before a request is placed.
  *
  * <p>A neighbour makes a server several times slower for a few hundred milliseconds, so the samples
- * from other answers are mostly too old. A probe also proves that a kept connection still works
+ * from other responses are mostly too old. A probe also proves that a kept connection still works
  * before a non-idempotent request is written on it.
  */
 final class LoadProber {
   /**
-   * Time after which a round does not wait for further answers. It is enough to open a connection
+   * Time after which a round does not wait for further responses. It is enough to open a connection
    * to another data centre.
    */
   private static final long ROUND_TIMEOUT_MILLIS = 12;
@@ -182,7 +182,7 @@
       boolean answered = reply instanceof ServerReply.Complete;
       environment.metrics().count("probes", service(), answered ? "answered" : "broken");
       if (reply instanceof ServerReply.Complete whole) {
-        recordAnswer(whole);
+        recordResponse(whole);
       }
       round.probeEnded();
     }
@@ -215,8 +215,8 @@
       }
     }
 
-    private void recordAnswer(ServerReply.Complete answer) {
-      String id = answer.headers().get(environment.names().serverId());
+    private void recordResponse(ServerReply.Complete response) {
+      String id = response.headers().get(environment.names().serverId());
       if (id != null && !id.equals(pool.state().entry().id())) {
         pool.state().markRemoved();
         environment
@@ -227,9 +227,11 @@
             .write();
         return;
       }
-      environment.notices().received(pool.state(), NoticeHeaders.read(answer, environment.names()));
-      recordWarmup(answer.headers().get(environment.names().warmupLeft()));
-      String load = answer.headers().get(environment.names().load());
+      environment
+          .notices()
+          .received(pool.state(), NoticeHeaders.read(response, environment.names()));
+      recordWarmup(response.headers().get(environment.names().warmupLeft()));
+      String load = response.headers().get(environment.names().load());
       if (load == null) {
         environment.routeState().load(service()).markNotReporting();
       } else {
--- a/front/src/main/java/org/magnoliaswitch/front/request/NoticeHeaders.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/NoticeHeaders.java
@@ -11,7 +11,7 @@
 import org.magnoliaswitch.front.load.ServerNotice;
 import org.magnoliaswitch.front.version.HeaderNames;
 
-/** Parses what a backend server asks of its callers from the headers of its answer. */
+/** Parses what a backend server asks of its callers from the headers of its response. */
 final class NoticeHeaders {
   /** Value of the header by which a server states that it is not leaving. */
   private static final String NOT_LEAVING = "0";
@@ -20,20 +20,20 @@
 
   private NoticeHeaders() {}
 
-  /** The notice in an answer; a value that is not a valid number is ignored. */
-  static ServerNotice read(ServerReply.Complete answer, HeaderNames names) {
-    boolean leaving = !answer.headers().get(names.leaving(), NOT_LEAVING).equals(NOT_LEAVING);
-    Optional<Double> limit = decimal(answer.headers().get(names.requestLimit()));
+  /** The notice in a response; a value that is not a valid number is ignored. */
+  static ServerNotice read(ServerReply.Complete response, HeaderNames names) {
+    boolean leaving = !response.headers().get(names.leaving(), NOT_LEAVING).equals(NOT_LEAVING);
+    Optional<Double> limit = decimal(response.headers().get(names.requestLimit()));
     OptionalLong pause =
-        rejected(answer)
-            ? RetryAfterHeader.nanos(answer.headers().get(RetryAfterHeader.NAME))
+        rejected(response)
+            ? RetryAfterHeader.nanos(response.headers().get(RetryAfterHeader.NAME))
             : OptionalLong.empty();
     return new ServerNotice(
         leaving, limit.map(OptionalDouble::of).orElseGet(OptionalDouble::empty), pause.orElse(0));
   }
 
-  private static boolean rejected(ServerReply.Complete answer) {
-    int status = answer.status().code();
+  private static boolean rejected(ServerReply.Complete response) {
+    int status = response.status().code();
     return status == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
         || status == HttpResponseStatus.TOO_MANY_REQUESTS.code();
   }
--- a/front/src/main/java/org/magnoliaswitch/front/request/RequestPlacement.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RequestPlacement.java
@@ -18,13 +18,13 @@
 
 /** Finds servers for one request, and keeps it in a queue while all of them are busy. */
 final class RequestPlacement implements PendingQueue.Entry {
-  /** Interval between two searches for capacity while no answer of a server reports any. */
+  /** Interval between two searches for capacity while no response of a server reports any. */
   private static final long SEARCH_INTERVAL_MILLIS = 12;
 
   /** The request that is placed. */
   interface Owner {
-    /** Whether the request still needs an answer. */
-    boolean awaitsAnswer();
+    /** Whether the request still needs a response. */
+    boolean awaitsResponse();
 
     /** What may be done with the request, considering the servers that crashed while serving it. */
     Verdict verdict();
@@ -82,7 +82,7 @@
 
   /** Searches for a server, and waits for one while all are busy. */
   void place() {
-    if (!owner.awaitsAnswer()) {
+    if (!owner.awaitsResponse()) {
       return;
     }
     switch (owner.verdict()) {
@@ -119,12 +119,12 @@
   }
 
   /**
-   * Offers free capacity, reported by an answer of the server, to the first request in the queue.
+   * Offers free capacity, reported by a response of the server, to the first request in the queue.
    */
   void offerCapacity(ServerState server) {
     Optional<RequestPlacement> first = pendingQueue.peek(service);
     if (first.isPresent() && finder.isSuitable(server, first.get().query())) {
-      // Deferred, so that the connection that brought the answer is back in its pool.
+      // Deferred, so that the connection that brought the response is back in its pool.
       loop.execute(() -> first.get().acceptOffer(server));
     }
   }
@@ -143,10 +143,10 @@
         query(),
         attemptedServerIds,
         result -> {
-          // While a search waits for health checks, an answer may have offered capacity and the
+          // While a search waits for health checks, a response may have offered capacity and the
           // request
           // was sent there; a second attempt would execute it twice.
-          if (owner.awaitsAnswer() && searchNumber == searchCount) {
+          if (owner.awaitsResponse() && searchNumber == searchCount) {
             action.accept(result);
           }
         });
--- a/front/src/main/java/org/magnoliaswitch/front/request/RequestReport.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RequestReport.java
@@ -30,7 +30,7 @@
     return requestId;
   }
 
-  /** Reports an attempt that brought no answer. */
+  /** Reports an attempt that brought no response. */
   void attemptFailed(String event, String service, String server, String key, String cause) {
     environment.metrics().count("attempts", service, event);
     environment
@@ -44,7 +44,7 @@
   }
 
   /**
-   * Reports an attempt whose connection broke before an answer. The line contains the identity of
+   * Reports an attempt whose connection broke before a response. The line contains the identity of
    * the request: its id changes with each retry of the caller, so the id cannot show that one
    * request was present in the crashes of many servers.
    */
@@ -77,7 +77,7 @@
         .write();
   }
 
-  /** Reports an answer that is later than usual. */
+  /** Reports a response that is later than usual. */
   void attemptOverdue(String service, String server, double usualLatencyNanos) {
     environment.metrics().count("attempts", service, "overdue");
     environment
@@ -133,7 +133,7 @@
    * @param attempts number of attempts
    * @param servers ids of the servers to which it was sent
    * @param tookNanos time since its last byte was read
-   * @param objectiveRemainingNanos time until its answer would be late; negative once it is
+   * @param objectiveRemainingNanos time until its response would be late; negative once it is
    */
   void requestEnded(
       String route,
--- a/front/src/main/java/org/magnoliaswitch/front/request/RequestTimes.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RequestTimes.java
@@ -41,12 +41,12 @@
     return callerTimeoutNanos;
   }
 
-  /** When an answer loses most of its value. */
+  /** When a response loses most of its value. */
   long objectiveEndNanos() {
     return readNanos - spentNanos.orElse(0) + route.objectiveNanos();
   }
 
-  /** Time until an answer loses most of its value; negative afterwards. */
+  /** Time until a response loses most of its value; negative afterwards. */
   long objectiveRemainingNanos() {
     return objectiveEndNanos() - environment.clocks().nanos();
   }
--- a/front/src/main/java/org/magnoliaswitch/front/request/RoutedExchange.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RoutedExchange.java
@@ -22,11 +22,11 @@
 import org.magnoliaswitch.front.version.Route;
 
 /**
- * One request of a caller whose route is known, until its final answer.
+ * One request of a caller whose route is known, until its final response.
  *
  * <p>A further attempt of a non-idempotent request is made only if the first server stated that it
  * did not execute the request, or if nothing of it was written. After any other failure the request
- * may have been executed, and the answer says so: 502 or 504, never 503.
+ * may have been executed, and the response says so: 502 or 504, never 503.
  */
 final class RoutedExchange implements RequestPlacement.Owner {
   /**
@@ -40,7 +40,7 @@
   private final Environment environment;
   private final CallerRequest request;
   private final Route route;
-  private final Consumer<CallerResponse> answer;
+  private final Consumer<CallerResponse> respond;
   private final RequestReport report;
   private final CrashDetector crashDetector;
   private final RequestTimes times;
@@ -61,11 +61,11 @@
       CallerRequest request,
       Route route,
       RequestReport report,
-      Consumer<CallerResponse> answer) {
+      Consumer<CallerResponse> respond) {
     this.environment = environment;
     this.request = request;
     this.route = route;
-    this.answer = answer;
+    this.respond = respond;
     this.report = report;
     this.crashDetector = new CrashDetector(environment, request);
     this.times = new RequestTimes(environment, route, request);
@@ -100,7 +100,7 @@
     placement.place();
   }
 
-  /** Called when the caller has left, so that nobody waits for the answer any more. */
+  /** Called when the caller has left, so that nobody waits for the response any more. */
   void callerDisconnected() {
     if (done) {
       return;
@@ -127,7 +127,7 @@
   }
 
   /**
-   * Handles an answer that is late: records it for the server, and starts the search for a second
+   * Handles a response that is late: records it for the server, and starts the search for a second
    * server if the request is idempotent.
    */
   private void overdue(Attempt attempt, double usualLatencyNanos) {
@@ -139,7 +139,7 @@
     hedgeSearch.ifPresent(present -> present.search(attempt));
   }
 
-  /** Whether the attempt is the only open one, so that nothing else can bring an answer. */
+  /** Whether the attempt is the only open one, so that nothing else can bring a response. */
   boolean waitsOnlyFor(Attempt attempt) {
     return !done && openAttempts.size() == 1 && openAttempts.contains(attempt);
   }
@@ -150,7 +150,7 @@
   }
 
   @Override
-  public boolean awaitsAnswer() {
+  public boolean awaitsResponse() {
     return !done;
   }
 
@@ -249,14 +249,14 @@
     }
   }
 
-  void answered(Attempt attempt, ServerReply.Complete serverAnswer) {
+  void answered(Attempt attempt, ServerReply.Complete serverResponse) {
     openAttempts.remove(attempt);
     if (done) {
       return;
     }
     boolean failed =
-        serverAnswer.status().code() >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
-    CallerResponse result = CallerResponses.forwarded(serverAnswer);
+        serverResponse.status().code() >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
+    CallerResponse result = CallerResponses.forwarded(serverResponse);
     if (failed) {
       executionState.serverFailed(result);
     }
@@ -272,10 +272,10 @@
   }
 
   /**
-   * Records the latency of an answer, compared with what was expected of the server.
+   * Records the latency of a response, compared with what was expected of the server.
    *
    * @param slowness slowness of the server when the request was sent; with its slowness at the time
-   *     of the answer, the usual latency would be estimated too short
+   *     of the response, the usual latency would be estimated too short
    */
   void recordLatency(long tookNanos, double slowness, ServerState server) {
     LatencyBaseline baseline = environment.routeState().baseline(route);
@@ -287,7 +287,7 @@
 
   /**
    * Whether the end of an attempt has no effect: the request is done, or another attempt may bring
-   * an answer.
+   * a response.
    */
   private boolean doneOrOthersOpen() {
     return done || !openAttempts.isEmpty();
@@ -305,9 +305,9 @@
 
   private void giveUp(String reason, LongSupplier retryAfterNanos) {
     executionState
-        .finalAnswer(HttpResponseStatus.BAD_GATEWAY, reason, false)
+        .finalResponse(HttpResponseStatus.BAD_GATEWAY, reason, false)
         .ifPresentOrElse(
-            finalAnswer -> finish(finalAnswer.answer(), finalAnswer.outcome()),
+            finalResponse -> finish(finalResponse.response(), finalResponse.outcome()),
             () -> refuse(reason, retryAfterNanos.getAsLong()));
   }
 
@@ -332,9 +332,9 @@
     boolean written = openAttempts.stream().anyMatch(Attempt::written);
     List<Attempt> cancelled = List.copyOf(openAttempts);
     executionState
-        .finalAnswer(HttpResponseStatus.GATEWAY_TIMEOUT, "timeout", written)
+        .finalResponse(HttpResponseStatus.GATEWAY_TIMEOUT, "timeout", written)
         .ifPresentOrElse(
-            finalAnswer -> finish(finalAnswer.answer(), finalAnswer.outcome()),
+            finalResponse -> finish(finalResponse.response(), finalResponse.outcome()),
             () -> refuse("timeout_before_send", retryAfterNanos(RetryAfter.Cause.BUSY)));
     cancelled.forEach(attempt -> attempt.callerTimedOut(route.idempotent()));
   }
@@ -347,7 +347,7 @@
     placement.leaveQueue();
     timer.cancel();
     reportEnd(outcome, result.status().code());
-    answer.accept(result);
+    respond.accept(result);
   }
 
   private void reportEnd(String outcome, int status) {
--- a/front/src/main/java/org/magnoliaswitch/front/request/ServerFinder.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/ServerFinder.java
@@ -15,7 +15,7 @@
     /**
      * There are servers, but none of them accepts a request now.
      *
-     * @param waitNanos least time until one may; 0 if that depends on the answers of busy servers
+     * @param waitNanos least time until one may; 0 if that depends on the responses of busy servers
      */
     record Full(long waitNanos) implements Result {}
 
--- a/front/src/main/java/org/magnoliaswitch/front/request/ServerQuery.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/ServerQuery.java
@@ -8,7 +8,7 @@
  *
  * @param route route of the request
  * @param service service whose servers may get the request
- * @param timeliness whether an answer can still be in time
- * @param allowedNanos time until an answer loses most of the value that it can still have
+ * @param timeliness whether a response can still be in time
+ * @param allowedNanos time until a response loses most of the value that it can still have
  */
 record ServerQuery(Route route, String service, Timeliness timeliness, long allowedNanos) {}
--- a/front/src/main/java/org/magnoliaswitch/front/request/package-info.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/package-info.java
@@ -1,4 +1,4 @@
-/** Processing of a request of a caller, from its arrival to its final answer. */
+/** Processing of a request of a caller, from its arrival to its final response. */
 @NullMarked
 package org.magnoliaswitch.front.request;
 
--- a/front/src/test/java/org/magnoliaswitch/front/request/CrashingRequestTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/CrashingRequestTest.java
@@ -138,8 +138,8 @@
       List<String> statuses = new ArrayList<>();
       for (int i = 0; i < REQUESTS; i++) {
         int before = servers.crashes.get();
-        String answer = fronts.get(i % INSTANCES).ask("POST", "/once/crash", TIMEOUT_MILLIS);
-        String status = answer.substring("HTTP/1.1 ".length()).substring(0, 3);
+        String response = fronts.get(i % INSTANCES).ask("POST", "/once/crash", TIMEOUT_MILLIS);
+        String status = response.substring("HTTP/1.1 ".length()).substring(0, 3);
         statuses.add(status);
         assertEquals(status, servers.crashes.get() > before ? "502" : "503");
       }
@@ -203,27 +203,28 @@
 
     private static CompletableFuture<CallerResponse> dispatch(
         Environment environment, RequestHandler handler) {
-      CompletableFuture<CallerResponse> answer = new CompletableFuture<>();
+      CompletableFuture<CallerResponse> response = new CompletableFuture<>();
       CallerRequest request = request(environment.clocks().nanos());
-      environment.loop().execute(() -> handler.start(request, answer::complete));
-      return answer;
+      environment.loop().execute(() -> handler.start(request, response::complete));
+      return response;
     }
 
     /**
      * After the loss of a data centre, many callers send the same request, and copies of it are on
-     * running servers. They are not cancelled: the first answer clears the request for all callers.
+     * running servers. They are not cancelled: the first response clears the request for all
+     * callers.
      */
     @Test
     public void copiesOfSeveralCallersMayComplete() throws IOException, InterruptedException {
       HoldingServer holding = new HoldingServer();
       try (ScriptedServer server = new ScriptedServer("a", holding::handle)) {
         Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, server);
-        CompletableFuture<CallerResponse> answer =
+        CompletableFuture<CallerResponse> response =
             dispatch(environment, new FrontDispatcher(environment));
         holding.arrived.acquire();
         environment.crashes().heard(TWO_CRASHES, CrashWatch.Source.PEER);
         holding.released.countDown();
-        assertEquals(answer.join().status().code(), 200);
+        assertEquals(response.join().status().code(), 200);
         assertEquals(environment.crashes().table().serversCrashedDuring(IDENTITY), Set.of());
         environment.loop().stop();
       }
@@ -238,7 +239,7 @@
       HoldingServer holding = new HoldingServer();
       try (ScriptedServer server = new ScriptedServer("a", holding::handle)) {
         Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, server);
-        CompletableFuture<CallerResponse> answer =
+        CompletableFuture<CallerResponse> response =
             dispatch(environment, new FrontDispatcher(environment));
         holding.arrived.acquire();
         List<CrashReport> twoCrashes =
@@ -246,7 +247,7 @@
                 new CrashReport.Crashed(OF_CALLER, "x@0", false),
                 new CrashReport.Crashed(OF_CALLER, "y@0", false));
         environment.crashes().heard(twoCrashes, CrashWatch.Source.PEER);
-        assertEquals(answer.join().status().code(), 502);
+        assertEquals(response.join().status().code(), 502);
         holding.released.countDown();
         environment.loop().stop();
       }
@@ -261,20 +262,20 @@
       HoldingServer holding = new HoldingServer();
       try (ScriptedServer server = new ScriptedServer("a", holding::handle)) {
         Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, server);
-        CompletableFuture<CallerResponse> answer =
+        CompletableFuture<CallerResponse> response =
             dispatch(environment, new FrontDispatcher(environment));
         holding.arrived.acquire();
         environment.crashes().heard(TWO_CRASHES, CrashWatch.Source.PEER);
         environment.crashes().heard(TRIAL_CRASHED, CrashWatch.Source.PEER);
         holding.released.countDown();
-        assertEquals(answer.join().status().code(), 200);
+        assertEquals(response.join().status().code(), 200);
         environment.loop().stop();
       }
     }
 
     /**
      * Two servers crashed while serving a request that is not the cause. One copy is sent as the
-     * trial; the others wait for its answer, which clears them, so all callers are served.
+     * trial; the others wait for its response, which clears them, so all callers are served.
      */
     @Test
     public void copiesWaitForTheTrialAndAreServed() throws IOException, InterruptedException {
@@ -309,11 +310,11 @@
         environment
             .crashes()
             .heard(List.of(new CrashReport.TrialStarted(IDENTITY, 1)), CrashWatch.Source.PEER);
-        CompletableFuture<CallerResponse> answer =
+        CompletableFuture<CallerResponse> response =
             dispatch(environment, new FrontDispatcher(environment));
         environment.crashes().heard(TRIAL_CRASHED, CrashWatch.Source.PEER);
-        assertEquals(answer.join().status().code(), 503);
-        assertTrue(Double.parseDouble(answer.join().headers().get("retry-after")) > 3_000);
+        assertEquals(response.join().status().code(), 503);
+        assertTrue(Double.parseDouble(response.join().headers().get("retry-after")) > 3_000);
         assertEquals(server.received().size(), 0);
         environment.loop().stop();
       }
--- a/front/src/test/java/org/magnoliaswitch/front/request/EvacuationTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/EvacuationTest.java
@@ -45,7 +45,7 @@
 
   /**
    * A non-idempotent request is being executed when its data centre is evacuated. The caller must
-   * get its answer: an evacuation keeps new requests away and does not affect those in flight.
+   * get its response: an evacuation keeps new requests away and does not affect those in flight.
    */
   @Test
   public void requestsInFlightComplete() throws IOException, InterruptedException {
@@ -57,11 +57,11 @@
         };
     try (ScriptedServer server = new ScriptedServer("a", hold)) {
       Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, server);
-      CompletableFuture<CallerResponse> answer = Requests.ask(environment);
+      CompletableFuture<CallerResponse> response = Requests.ask(environment);
       server.awaitFirst();
       evacuate(environment, 1, "here");
       released.countDown();
-      assertEquals(answer.join().status().code(), 200);
+      assertEquals(response.join().status().code(), 200);
       environment.loop().stop();
     }
   }
@@ -105,13 +105,13 @@
     try (ScriptedServer first = new ScriptedServer("a", reject);
         ScriptedServer second = new ScriptedServer("b", reject)) {
       Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, first, second);
-      CompletableFuture<CallerResponse> answer = Requests.ask(environment);
+      CompletableFuture<CallerResponse> response = Requests.ask(environment);
       while (first.received().size() + second.received().size() == 0) {
         Thread.onSpinWait();
       }
       evacuate(environment, 1, "here");
       released.countDown();
-      assertEquals(answer.join().status().code(), 503);
+      assertEquals(response.join().status().code(), 503);
       assertEquals(first.received().size() + second.received().size(), 1);
       environment.loop().stop();
     }
--- a/front/src/test/java/org/magnoliaswitch/front/request/ExchangeTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/ExchangeTest.java
@@ -21,8 +21,8 @@
   private static final String BOTH_LENGTHS =
       "POST /safe/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n";
 
-  private static int status(String answer) {
-    return Integer.parseInt(answer.split(" ", 3)[1]);
+  private static int status(String response) {
+    return Integer.parseInt(response.split(" ", 3)[1]);
   }
 
   /** Faults of a server, and their effect on a request. */
@@ -65,7 +65,7 @@
             r.write("HTTP/1.1 421 X\r\nServer-Id: other\r\nContent-Length: 0\r\n\r\n");
             return true;
           };
-      Script otherAnswerFirst =
+      Script otherResponseFirst =
           r -> {
             r.write("HTTP/1.1 200 X\r\nRequest-Id: old\r\nContent-Length: 3\r\n\r\nold");
             return r.answer(200, "own");
@@ -86,7 +86,7 @@
         {"refusal without a Not-Run header", unconfirmed, 502},
         {"not executed", notExecuted, 503},
         {"replaced", replaced, 503},
-        {"answer to another request first", otherAnswerFirst, 200},
+        {"response to another request first", otherResponseFirst, 200},
         {"no id", withoutId, 502},
         {"failed", failed, 500},
       };
@@ -94,27 +94,27 @@
 
     /**
      * A non-idempotent request with a single server. Only the statement of the server itself
-     * permits the answer that the request was not executed (503); after any other fault it may have
-     * been executed.
+     * permits the response that the request was not executed (503); after any other fault it may
+     * have been executed.
      */
     @Test(dataProvider = "faults")
     public void nonIdempotentRequestsAreReportedAsNotExecutedOnlyWithProof(
         String name, Script script, int expected) throws IOException {
       try (ScriptedServer server = new ScriptedServer("a", script)) {
         RunningFront front = new RunningFront(LONG_TIMEOUT_MILLIS, server);
-        String answer = front.ask("POST", "/once/1", LONG_TIMEOUT_MILLIS);
-        assertEquals(status(answer), expected, name + ": " + answer);
+        String response = front.ask("POST", "/once/1", LONG_TIMEOUT_MILLIS);
+        assertEquals(status(response), expected, name + ": " + response);
         assertEquals(
-            answer.contains("Retry-After:") || answer.contains("retry-after:"),
+            response.contains("Retry-After:") || response.contains("retry-after:"),
             expected == 503,
-            answer);
+            response);
         // A server that was replaced shows it at the health check before the first attempt.
         assertEquals(server.received().size(), name.equals("replaced") ? 0 : 1, name);
-        assertFalse(answer.endsWith("old"), answer);
+        assertFalse(response.endsWith("old"), response);
       }
     }
 
-    /** With a second server, an idempotent request gets its answer despite every fault. */
+    /** With a second server, an idempotent request gets its response despite every fault. */
     @Test(dataProvider = "faults")
     public void idempotentRequestsAreServedByAnotherServer(String name, Script script, int expected)
         throws IOException {
@@ -168,7 +168,7 @@
     }
 
     /**
-     * The server never answers: the caller must get its final answer at the timeout of the route.
+     * The server never answers: the caller must get its final response at the timeout of the route.
      */
     @Test
     public void anUnresponsiveServerLeadsToAGatewayTimeout() throws IOException {
@@ -188,7 +188,7 @@
   public static final class Callers {
     /**
      * The caller closes its connection while a server works on its request. Nobody waits for the
-     * answer any more, so the connection to the server must be closed.
+     * response any more, so the connection to the server must be closed.
      */
     @Test
     public void requestsOfACallerThatLeftAreCancelled() throws IOException, InterruptedException {
@@ -210,11 +210,11 @@
     }
 
     /**
-     * Three requests arrive at once and the first is answered last. The answers must come in the
+     * Three requests arrive at once and the first is answered last. The responses must come in the
      * order of the requests, or the caller would match them to the wrong ones.
      */
     @Test
-    public void answersKeepTheOrderOfPipelinedRequests() throws IOException {
+    public void responsesKeepTheOrderOfPipelinedRequests() throws IOException {
       CountDownLatch others = new CountDownLatch(2);
       Script script =
           r -> {
@@ -251,10 +251,10 @@
       try (ScriptedServer server = new ScriptedServer("a", r -> r.answer(200, "x"));
           Socket caller = new RunningFront(LONG_TIMEOUT_MILLIS, server).connect()) {
         caller.getOutputStream().write(bytes.getBytes(java.nio.charset.StandardCharsets.US_ASCII));
-        String answer =
+        String response =
             new String(
                 caller.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.US_ASCII);
-        assertEquals(status(answer), 400, answer);
+        assertEquals(status(response), 400, response);
         assertEquals(server.received().size(), 0);
       }
     }
@@ -271,21 +271,21 @@
   /** Planned stops of an instance. */
   public static final class Stops {
     /**
-     * Waits until answers announce the stop. The event loop carries it out and may read an answer
-     * first.
+     * Waits until responses announce the stop. The event loop carries it out and may read a
+     * response first.
      */
     private static void awaitStopAnnounced(RunningFront front) throws IOException {
-      String answer = "";
-      while (!answer.toLowerCase(java.util.Locale.ROOT).contains("connection: close")) {
+      String response = "";
+      while (!response.toLowerCase(java.util.Locale.ROOT).contains("connection: close")) {
         try (Socket caller = front.connect()) {
           RunningFront.send(caller, "GET", "/no/", LONG_TIMEOUT_MILLIS, "");
-          answer = RunningFront.readUntil(caller, "no_route");
+          response = RunningFront.readUntil(caller, "no_route");
         }
       }
     }
 
     /**
-     * The instance is stopped while a server works on a request. The caller must get its answer,
+     * The instance is stopped while a server works on a request. The caller must get its response,
      * and the instance must not exit before.
      */
     @Test
@@ -311,9 +311,9 @@
           assertFalse(stopped.get());
           awaitStopAnnounced(front);
           released.countDown();
-          String answer = RunningFront.readUntil(caller, "done");
-          assertEquals(status(answer), 200);
-          assertTrue(answer.toLowerCase(java.util.Locale.ROOT).contains("connection: close"));
+          String response = RunningFront.readUntil(caller, "done");
+          assertEquals(status(response), 200);
+          assertTrue(response.toLowerCase(java.util.Locale.ROOT).contains("connection: close"));
         }
         exited.await();
       }
--- a/front/src/test/java/org/magnoliaswitch/front/request/FirstConfigurationWaitTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/FirstConfigurationWaitTest.java
@@ -37,10 +37,10 @@
   }
 
   private static BlockingQueue<CallerResponse> dispatch(Environment environment) {
-    BlockingQueue<CallerResponse> answers = new ArrayBlockingQueue<>(1);
+    BlockingQueue<CallerResponse> responses = new ArrayBlockingQueue<>(1);
     FrontDispatcher dispatcher = new FrontDispatcher(environment);
-    environment.loop().execute(() -> dispatcher.start(request(environment), answers::add));
-    return answers;
+    environment.loop().execute(() -> dispatcher.start(request(environment), responses::add));
+    return responses;
   }
 
   /**
@@ -52,9 +52,9 @@
   public void requestsWaitForTheFirstConfiguration() throws IOException, InterruptedException {
     try (ScriptedServer server = new ScriptedServer("a", r -> r.answer(200, "x"))) {
       Environment environment = TestEnvironment.withoutConfiguration();
-      BlockingQueue<CallerResponse> answers = dispatch(environment);
+      BlockingQueue<CallerResponse> responses = dispatch(environment);
       environment.loop().execute(() -> TestEnvironment.configure(environment, ROUTE, server));
-      assertEquals(answers.take().status().code(), 200);
+      assertEquals(responses.take().status().code(), 200);
       environment.loop().stop();
     }
   }
@@ -63,15 +63,15 @@
   @Test
   public void requestsAreRefusedWithoutAConfiguration() throws InterruptedException {
     Environment environment = TestEnvironment.withoutConfiguration();
-    CallerResponse answer = dispatch(environment).take();
-    assertEquals(answer.status().code(), 503);
-    assertFalse(answer.headers().get("Retry-After").isEmpty());
+    CallerResponse response = dispatch(environment).take();
+    assertEquals(response.status().code(), 503);
+    assertFalse(response.headers().get("Retry-After").isEmpty());
     environment.loop().stop();
   }
 
   /**
    * Before the first configuration it is not known which requests are idempotent. If a
-   * non-idempotent request were processed concurrently with others of its connection, an answer
+   * non-idempotent request were processed concurrently with others of its connection, a response
    * that closes the connection would make its caller send it again.
    */
   @Test
--- a/front/src/test/java/org/magnoliaswitch/front/request/LeavingServerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/LeavingServerTest.java
@@ -16,7 +16,7 @@
 import org.magnoliaswitch.front.version.ServerList;
 import org.testng.annotations.Test;
 
-/** Servers that state in their answers that they are leaving, before discovery reports it. */
+/** Servers that state in their responses that they are leaving, before discovery reports it. */
 public final class LeavingServerTest {
   private static final int REQUESTS = 20;
   private static final Route NON_IDEMPOTENT_ROUTE = Requests.route(false);
@@ -56,7 +56,7 @@
 
   /** Guards against new requests to a leaving server while the platform's store is unavailable. */
   @Test
-  public void receiveNoRequestsAfterAnAnswerStatesIt() throws IOException, InterruptedException {
+  public void receiveNoRequestsAfterAResponseStatesIt() throws IOException, InterruptedException {
     try (ScriptedServer leaving = new ScriptedServer("a", LeavingServerTest::leaving);
         ScriptedServer staying = new ScriptedServer("b", LeavingServerTest::staying)) {
       Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, leaving);
--- a/front/src/test/java/org/magnoliaswitch/front/request/LimitedServerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/LimitedServerTest.java
@@ -60,8 +60,8 @@
         ScriptedServer other = new ScriptedServer("b", LimitedServerTest::halfLoaded)) {
       List<RunningFront> fronts = RunningFront.group(INSTANCES, 10_000, limited, other);
       for (int i = 0; i < REQUESTS; i++) {
-        String answer = fronts.get(i % INSTANCES).ask("GET", "/safe/" + i, 10_000);
-        assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
+        String response = fronts.get(i % INSTANCES).ask("GET", "/safe/" + i, 10_000);
+        assertTrue(response.startsWith("HTTP/1.1 200"), response);
       }
       long most = Bursts.maxInWindow(arrivals, SPAN_NANOS);
       assertTrue(most <= MAX_IN_SPAN, most + " requests within a span");
--- a/front/src/test/java/org/magnoliaswitch/front/request/NoticeHeadersTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/NoticeHeadersTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Parsing of the notices that servers send in the headers of their answers. */
+/** Parsing of the notices that servers send in the headers of their responses. */
 public final class NoticeHeadersTest {
   private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
@@ -28,7 +28,7 @@
   }
 
   @Test
-  public void answersWithoutTheHeadersHaveNoNotice() {
+  public void responsesWithoutTheHeadersHaveNoNotice() {
     assertEquals(read(200, new DefaultHttpHeaders()), ServerNotice.NONE);
   }
 
--- a/front/src/test/java/org/magnoliaswitch/front/request/OverdueRequestTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/OverdueRequestTest.java
@@ -76,13 +76,13 @@
   }
 
   /**
-   * The server hangs, and when the answer is overdue all others are full. A moment later one has
-   * capacity. The caller still waits and must get the answer from there, instead of a timeout.
+   * The server hangs, and when the response is overdue all others are full. A moment later one has
+   * capacity. The caller still waits and must get the response from there, instead of a timeout.
    */
   @Test
   public void searchesForASecondServerUntilThereIsCapacity()
       throws IOException, InterruptedException {
-    BlockingQueue<CallerResponse> answers = new ArrayBlockingQueue<>(1);
+    BlockingQueue<CallerResponse> responses = new ArrayBlockingQueue<>(1);
     try (ScriptedServer hung =
             new ScriptedServer(
                 "a",
@@ -100,22 +100,22 @@
               finder,
               new PendingQueue<>(Mechanisms.ALL),
               request(environment),
-              answers::add);
+              responses::add);
       environment.loop().execute(() -> exchange.start(() -> Optional.of(ROUTE)));
-      assertEquals(answers.take().status().code(), 200);
+      assertEquals(responses.take().status().code(), 200);
       environment.loop().stop();
     }
   }
 
   /**
    * The server has executed the request and failed, and no second server has capacity while the
-   * caller waits. The caller must get the answer of the server, which says more than one of the
+   * caller waits. The caller must get the response of the server, which says more than one of the
    * instance.
    */
   @Test
   public void forwardsAFailureWhenNoSecondServerHasCapacity()
       throws IOException, InterruptedException {
-    BlockingQueue<CallerResponse> answers = new ArrayBlockingQueue<>(1);
+    BlockingQueue<CallerResponse> responses = new ArrayBlockingQueue<>(1);
     try (ScriptedServer failing = new ScriptedServer("a", r -> r.answer(500, "reason"))) {
       Environment environment = TestEnvironment.with(SHORT_ROUTE, failing);
       ServerState server = state(environment, "a");
@@ -127,11 +127,11 @@
               finder,
               new PendingQueue<>(Mechanisms.ALL),
               request(environment),
-              answers::add);
+              responses::add);
       environment.loop().execute(() -> exchange.start(() -> Optional.of(SHORT_ROUTE)));
-      CallerResponse answer = answers.take();
-      assertEquals(answer.status().code(), 500);
-      assertEquals(new String(answer.body(), StandardCharsets.US_ASCII), "reason");
+      CallerResponse response = responses.take();
+      assertEquals(response.status().code(), 500);
+      assertEquals(new String(response.body(), StandardCharsets.US_ASCII), "reason");
       environment.loop().stop();
     }
   }
--- a/front/src/test/java/org/magnoliaswitch/front/request/PausedServerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/PausedServerTest.java
@@ -65,9 +65,9 @@
     try (ScriptedServer rejecting = new ScriptedServer("a", PausedServerTest::rejecting)) {
       Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, rejecting);
       for (int i = 0; i < REQUESTS; i++) {
-        CallerResponse answer = Requests.ask(environment).join();
-        assertEquals(answer.status().code(), 503);
-        assertTrue(answer.headers().contains("Retry-After"));
+        CallerResponse response = Requests.ask(environment).join();
+        assertEquals(response.status().code(), 503);
+        assertTrue(response.headers().contains("Retry-After"));
       }
       assertPauseRespected(rejecting);
       environment.loop().stop();
@@ -94,9 +94,9 @@
           .set(
               new RouteTable(
                   2, List.of(NON_IDEMPOTENT_ROUTE), List.of(policy), CallerLimits.DEFAULT));
-      CompletableFuture<CallerResponse> answer = Requests.ask(environment);
+      CompletableFuture<CallerResponse> response = Requests.ask(environment);
       environment.loop().execute(() -> pause(environment));
-      assertEquals(answer.join().status().code(), 503);
+      assertEquals(response.join().status().code(), 503);
       assertEquals(healthChecks.get(), 0);
       environment.loop().stop();
     }
--- a/front/src/test/java/org/magnoliaswitch/front/request/RestartedServerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/RestartedServerTest.java
@@ -67,23 +67,24 @@
     try (ScriptedServer old = new ScriptedServer("a", crash);
         ScriptedServer restarted = new ScriptedServer("a", SUCCEED)) {
       Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, old);
-      CompletableFuture<CallerResponse> answer = Requests.ask(environment);
+      CompletableFuture<CallerResponse> response = Requests.ask(environment);
       old.awaitFirst();
       restart(environment, restarted);
       released.countDown();
-      assertEquals(answer.join().status().code(), 502);
+      assertEquals(response.join().status().code(), 502);
       assertEquals(restarted.received().size(), 0);
       environment.loop().stop();
     }
   }
 
   /**
-   * The answer of a server arrives after discovery has reported its next incarnation. The caller
-   * must get the answer. The load, latency and failures of the old process must not affect the new
-   * one, which would otherwise be avoided while it is idle.
+   * The response of a server arrives after discovery has reported its next incarnation. The caller
+   * must get the response. The load, latency and failures of the old process must not affect the
+   * new one, which would otherwise be avoided while it is idle.
    */
   @Test
-  public void aLateAnswerDoesNotAffectTheNewIncarnation() throws IOException, InterruptedException {
+  public void aLateResponseDoesNotAffectTheNewIncarnation()
+      throws IOException, InterruptedException {
     CountDownLatch released = new CountDownLatch(1);
     Script busy =
         request -> {
@@ -95,11 +96,11 @@
         ScriptedServer restarted = new ScriptedServer("a", SUCCEED)) {
       Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, old);
       ServerState before = state(environment);
-      CompletableFuture<CallerResponse> answer = Requests.ask(environment);
+      CompletableFuture<CallerResponse> response = Requests.ask(environment);
       old.awaitFirst();
       restart(environment, restarted);
       released.countDown();
-      assertEquals(answer.join().status().code(), 200);
+      assertEquals(response.join().status().code(), 200);
       ServerState after = state(environment);
       assertNotSame(after, before);
       assertTrue(before.hasSample());
--- a/front/src/test/java/org/magnoliaswitch/front/request/WaitingRequestTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/WaitingRequestTest.java
@@ -55,9 +55,9 @@
 
   /**
    * All servers are full, so a non-idempotent request is queued, and the health checks of its
-   * second search are pending. Then the answer to another request reports capacity and the request
-   * is sent there. The answers to the health checks must not send it a second time: it would be
-   * executed twice.
+   * second search are pending. Then the response to another request reports capacity and the
+   * request is sent there. The responses to the health checks must not send it a second time: it
+   * would be executed twice.
    */
   @Test
   public void aLateSearchResultDoesNotSendARequestAgain() throws IOException, InterruptedException {
@@ -75,9 +75,9 @@
               environment.clocks().nanos(),
               false,
               "127.0.0.1");
-      Consumer<CallerResponse> answer = result -> answered.countDown();
+      Consumer<CallerResponse> respond = result -> answered.countDown();
       PendingQueue<RequestPlacement> pendingQueue = new PendingQueue<>(Mechanisms.ALL);
-      Exchange exchange = new Exchange(environment, finder, pendingQueue, request, answer);
+      Exchange exchange = new Exchange(environment, finder, pendingQueue, request, respond);
       environment
           .loop()
           .execute(
