--- a/front/src/main/java/org/magnoliaswitch/front/load/AdmissionLimit.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/AdmissionLimit.java
@@ -1,33 +1,36 @@
 package org.magnoliaswitch.front.load;
 
 /**
- * Whether a server should get one more request now; pure.
+ * Decides whether a server may receive one more request now. Stateless and free of I/O.
  *
- * <p>Load pattern: more requests than servers can run, from instances that do not see each other's.
- * A server slows down by more than half when its last slots fill, so it serves most with four
- * fifths of them busy; whatever is sent beyond that waits there, makes all others late, and is in
- * the end rejected. Requests without room wait here for a moment, or are refused while their
- * callers still have time.
+ * <p>Load pattern: the instances together receive more requests than the servers can execute, and
+ * no instance sees the requests of the others. A server slows down by more than half when its last
+ * slots fill, so its throughput is highest with four fifths of them busy. Every request beyond that
+ * queues at the server, delays all others and is finally rejected. Requests without capacity
+ * therefore wait at this instance for a moment, or are refused while their callers still have time
+ * to retry.
  */
 public final class AdmissionLimit {
   /** Share of busy slots above which servers slow down. */
   static final double KNEE = 0.8;
 
-  /** Lets estimates that fade towards a whole number count as that number. */
-  private static final double ROUNDING = 0.25;
+  /**
+   * Tolerance for estimates that decay towards a whole number, so that they count as that number.
+   */
+  private static final double ROUNDING_TOLERANCE = 0.25;
 
-  /** Share of busy slots up to which late requests are taken. */
+  /** Share of busy slots up to which late requests are admitted. */
   private static final double LATE_SHARE = 0.6;
 
-  /** The same while requests that could be in time wait: one slot of six. */
-  private static final double LATE_SHARE_PRESSED = 0.2;
+  /** Share of slots for late requests while timely requests wait for capacity: one slot of six. */
+  private static final double LATE_SHARE_UNDER_PRESSURE = 0.2;
 
   private AdmissionLimit() {}
 
-  private static double share(PlacementContext context) {
+  private static double slotShare(PlacementContext context) {
     return switch (context.timeliness()) {
       case IN_TIME -> KNEE;
-      case LATE -> yields(context) ? LATE_SHARE_PRESSED : LATE_SHARE;
+      case LATE -> yields(context) ? LATE_SHARE_UNDER_PRESSURE : LATE_SHARE;
     };
   }
 
@@ -36,38 +39,39 @@
   }
 
   /**
-   * Whether a server should get one more request.
+   * Whether a server has capacity for one more request.
    *
-   * <p>A server not heard of yet gets one request of this instance at a time, unless its service
-   * never tells its load.
+   * <p>A server without a load sample gets one request of this instance at a time, unless its
+   * service never reports its load.
    *
-   * <p>Late requests leave a slot of each server free. When every second request comes back after a
-   * refusal, they would otherwise take the room of those that can still be in time, and soon nobody
-   * is in time. While some of those have to wait, late ones get one slot only: after a burst
-   * callers with long patience kept half of the slots busy with answers that came too late, and the
-   * service did not recover.
+   * <p>Late requests leave one slot of each server free. When every second request returns after a
+   * refusal, late requests would otherwise take the capacity of those that can still be answered in
+   * time, until no request is. While timely requests wait, late ones may use a single slot only:
+   * after a burst, late requests of callers with long timeouts would otherwise occupy half of the
+   * slots with answers that arrive too late, and the service would not recover.
    */
   public static boolean hasCapacity(ServerState server, PlacementContext context) {
     if (!context.enabled(Mechanism.KNEE_BOUND)) {
       return true;
     }
     if (!server.hasSample()) {
-      // After a restart of all instances everyone's callers return at once and nothing is known.
-      return !context.load().reporting() || server.inFlight() == 0;
+      // After a restart of all instances, callers retry at the same moment and no load is known.
+      return !context.load().reportsLoad() || server.inFlight() == 0;
     }
-    double limit = Math.max(1, Math.floor(share(context) * server.sample().slots()));
-    double held =
+    double limit = Math.max(1, Math.floor(slotShare(context) * server.sample().slots()));
+    double outstanding =
         Placement.expectedOutstanding(server, context.load().meanOutstanding(), context.nowNanos());
-    return held + 1 <= limit + ROUNDING;
+    return outstanding + 1 <= limit + ROUNDING_TOLERANCE;
   }
 
   /**
-   * Whether a server without room should get one more request all the same, in a slot that slows
-   * its work down.
+   * Whether a server without capacity below the knee should get one more request all the same, in a
+   * slot that slows its work down.
    *
-   * <p>Load pattern: servers with few slots, all of them at work. One slot of six left free keeps a
-   * server quick, one of two leaves half of it unused: with both at work it serves more, though
-   * each answer takes longer. So the slot is filled if that serves more and the answer is in time.
+   * <p>Load pattern: servers with few slots, all of them busy. Leaving one slot of six free keeps a
+   * server fast, but leaving one of two free wastes half of it: with both busy its throughput is
+   * higher, although each answer takes longer. The slot is therefore filled if that raises the
+   * throughput and the answer is still expected in time.
    */
   public static boolean mayExceedKnee(ServerState server, PlacementContext context) {
     if (!context.enabled(Mechanism.LAST_SLOT)
@@ -76,13 +80,13 @@
       return false;
     }
     double slots = server.sample().slots();
-    double quick = Math.max(1, Math.floor(KNEE * slots));
-    double held =
+    double kneeSlots = Math.max(1, Math.floor(KNEE * slots));
+    double outstanding =
         Placement.expectedOutstanding(server, context.load().meanOutstanding(), context.nowNanos());
-    boolean servesMore = slots / Placement.KNEE_FACTOR > quick;
-    boolean free = held + 1 <= slots + ROUNDING;
+    boolean servesMore = slots / Placement.KNEE_FACTOR > kneeSlots;
+    boolean slotFree = outstanding + 1 <= slots + ROUNDING_TOLERANCE;
     return servesMore
-        && free
+        && slotFree
         && Placement.predictedNanos(server, context) <= context.allowedNanos();
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/load/Backpressure.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/Backpressure.java
@@ -3,8 +3,8 @@
 import java.util.OptionalDouble;
 
 /**
- * What one incarnation of a backend server asks of its callers, as far as its answers told this
- * instance; used by one thread only.
+ * The backpressure that one incarnation of a backend server has signalled to this instance in its
+ * answers. Not thread-safe.
  */
 public final class Backpressure {
   private boolean leaving;
@@ -14,21 +14,22 @@
   private long limitReceivedNanos;
 
   /**
-   * Takes the notice in the answer to a request that the server has run.
+   * Applies the notice in the answer to a request that the server has executed.
    *
    * @param sentNanos when the request was sent
    */
   public void recordAnswer(ServerNotice notice, long sentNanos, long nowNanos) {
     recordNotice(notice, nowNanos);
-    // Answers overtake each other: only one to a later request shows that the limit has ended.
+    // Answers may arrive out of order: only the answer to a request that was sent after the limit
+    // was received proves that the limit is lifted.
     if (notice.requestsPerSecond().isEmpty() && sentNanos - limitReceivedNanos > 0) {
       requestsPerSecond = OptionalDouble.empty();
     }
   }
 
   /**
-   * Takes the notice in the answer to a health check or to a request that was turned away. It does
-   * not lift a limit: a server may leave the limit out of such answers.
+   * Applies the notice in the answer to a health check or to a rejected request. It does not lift a
+   * limit, because a server may leave the limit out of such answers.
    */
   public void recordNotice(ServerNotice notice, long nowNanos) {
     leaving |= notice.leaving();
@@ -39,7 +40,10 @@
     }
   }
 
-  /** The longest pause counts: a server that is asked once more may name less than what is left. */
+  /**
+   * Keeps the longest pause, because a server that is asked again may name less than the time that
+   * remains.
+   */
   private void extendPause(ServerNotice notice, long nowNanos) {
     if (notice.pauseNanos() > remainingPauseNanos(nowNanos)) {
       paused = true;
@@ -47,31 +51,39 @@
     }
   }
 
-  /** Whether the server leaves; it never comes back from that, only its next incarnation does. */
+  /**
+   * Whether the server is leaving. The state is final for an incarnation; only the next incarnation
+   * accepts work again.
+   */
   public boolean leaving() {
     return leaving;
   }
 
-  /** Time left of the pause that the server asked this instance for; 0 once it has passed. */
+  /**
+   * Remaining time of the pause that the server requested from this instance; 0 once it has passed.
+   */
   public long remainingPauseNanos(long nowNanos) {
     paused &= pausedUntilNanos - nowNanos > 0;
     return paused ? pausedUntilNanos - nowNanos : 0;
   }
 
-  /** Requests a second that the server takes from all instances together, if it limits them. */
+  /**
+   * Requests per second that the server accepts from all instances together; empty if it has no
+   * limit.
+   */
   public OptionalDouble requestsPerSecond() {
     return requestsPerSecond;
   }
 
   /**
-   * Whether the server may be asked for its load. A health check is a request, too, and would
-   * double what a server gets that asked for less.
+   * Whether the server may be probed for its load. A health check is a request too, and would
+   * double the traffic of a server that asked for less.
    */
   public boolean allowsProbes(long nowNanos) {
     return requestsPerSecond.isEmpty() && remainingPauseNanos(nowNanos) == 0;
   }
 
-  /** Time since the server last named its limit. */
+  /** Time since the server last sent its limit. */
   public long limitAgeNanos(long nowNanos) {
     return nowNanos - limitReceivedNanos;
   }
--- a/front/src/main/java/org/magnoliaswitch/front/load/CallerRetry.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/CallerRetry.java
@@ -3,46 +3,55 @@
 import java.util.OptionalLong;
 
 /**
- * What is left to a caller whose request a server has rejected; pure.
+ * Whether a caller whose request was rejected by a server is expected to retry by itself. Stateless
+ * and free of I/O.
  *
- * <p>Load pattern: all servers of a service reject a share of what they get, whatever their load.
- * Many more requests want a second send than the retry budget allows. A caller on its first try
- * that is refused at once comes back and is as well off as with a second send; one that has come
- * back before is lost. So the budget goes to those first.
+ * <p>Load pattern: all servers of a service reject a share of their requests, independently of
+ * their load, and more requests need a further attempt than the retry budget allows. A caller on
+ * its first try that is refused immediately retries, which serves it as well as a further attempt;
+ * a caller that has already retried gets no answer at all. The budget is therefore spent on the
+ * latter first.
  *
- * <p>A caller that comes back opens a connection for it, and has less time than others have.
- * Neither sign is trusted alone: some callers open a connection for each request, and some are less
- * patient than others from the start. Whatever is doubtful counts as a last try.
+ * <p>A retrying caller opens a new connection and has less time left than others. Neither sign is
+ * reliable alone: some callers open a connection for each request, and some have shorter timeouts
+ * from the start. When in doubt, a request counts as the caller's last try.
  */
 public enum CallerRetry {
-  /** Refused at once, the caller comes back and can still be served. */
+  /** The caller is expected to retry after an immediate refusal, with time left to be served. */
   EXPECTED,
 
-  /** It has come back before, has no time left to, or does not tell. */
+  /**
+   * No retry is expected: the caller has already retried, has no time left, or sent no deadline.
+   */
   NONE;
 
-  /** Share of their time by which callers differ in patience; one that lacks more has spent it. */
-  private static final double PATIENCE_SPREAD = 0.25;
+  /**
+   * Share of the timeout by which callers differ; a caller that lacks more has used up that time.
+   */
+  private static final double TIMEOUT_SPREAD = 0.25;
 
-  /** Multiple of the usual latency that a return takes: the way back, a wait for room, the work. */
-  private static final double RETURN_FACTOR = 1.5;
+  /**
+   * Multiple of the usual latency that a retry takes: the round trip, the wait for capacity and the
+   * execution.
+   */
+  private static final double RETRY_FACTOR = 1.5;
 
   /**
-   * Decides for one request.
+   * Estimates whether the caller of a request will retry.
    *
-   * @param usedConnection whether the request came on a connection that carried others before
-   * @param spentNanos how much less time the caller has than the most patient one; absent when it
-   *     told no deadline
-   * @param leftNanos time that it still waits
+   * @param usedConnection whether the request arrived on a connection that carried others before
+   * @param spentNanos how much less time the caller has than the caller with the longest timeout;
+   *     empty when it sent no deadline
+   * @param remainingNanos time until the caller's deadline
    * @param usualNanos usual latency of such a request
    */
   public static CallerRetry of(
-      boolean usedConnection, OptionalLong spentNanos, long leftNanos, double usualNanos) {
+      boolean usedConnection, OptionalLong spentNanos, long remainingNanos, double usualNanos) {
     if (spentNanos.isEmpty()) {
       return NONE;
     }
     long spent = spentNanos.getAsLong();
-    boolean firstTry = usedConnection && spent <= PATIENCE_SPREAD * (spent + leftNanos);
-    return firstTry && leftNanos > RETURN_FACTOR * usualNanos ? EXPECTED : NONE;
+    boolean firstTry = usedConnection && spent <= TIMEOUT_SPREAD * (spent + remainingNanos);
+    return firstTry && remainingNanos > RETRY_FACTOR * usualNanos ? EXPECTED : NONE;
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/load/ColdShare.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/ColdShare.java
@@ -3,45 +3,45 @@
 import org.magnoliaswitch.front.version.Warmup;
 
 /**
- * How much one instance may send to one server that is cold; pure.
+ * The rate at which one instance may send requests to one cold server.
  *
- * <p>Load pattern: a data centre's servers come back empty in a burst. They look idle to all
- * instances at once, get many times what they bear, and end. The bound holds for every second over
- * all instances together, and these do not ask each other.
+ * <p>Load pattern: the servers of a data centre restart empty during a burst. They appear idle to
+ * all instances at once, receive a multiple of the load they can sustain, and crash. The limit
+ * holds for every second over all instances together, and the instances do not coordinate.
  *
- * <p>Where the bound allows each instance a request a second, each gets an even part of it. Where
- * it does not, few instances send to the server at all, one request a second each, and the others
- * pass it by. A bucket of a fraction of a request a second would not do: every instance starts with
- * the same right to a first request, and all use it at once.
+ * <p>Where the limit allows each instance at least one request per second, each gets an equal
+ * share. Otherwise few instances send to the server, one request per second each, and the others
+ * skip it. A token bucket that refills at a fraction of a request per second would not work: every
+ * instance starts with one token, and all of them spend it at the same time.
  *
- * <p>Who sends is drawn for each server's incarnation ({@link SenderSelection}).
+ * <p>The senders are selected per incarnation of the server ({@link SenderSelection}).
  *
- * @param maxPerSecond sends of this instance to the server in any second; 0 if it may not send
+ * @param maxPerSecond requests of this instance to the server in any second; 0 if it may not send
  */
 public record ColdShare(int maxPerSecond) {
   /** Part of the slack that is planned with; the rest covers a wrong count of instances. */
-  private static final double SLACK_SHARE = 0.5;
+  private static final double PLANNED_SLACK_SHARE = 0.5;
 
-  /** No limit at all. */
+  /** Share for servers without a limit. */
   private static final ColdShare UNLIMITED = new ColdShare(Integer.MAX_VALUE);
 
   /**
-   * What is tolerated beyond the rate that a service declares for its cold servers.
+   * Tolerance beyond the rate that a service declares for its cold servers.
    *
    * @param excess multiple of the declared rate
-   * @param slack requests a second besides
+   * @param slack requests per second on top of it
    */
   public record Bounds(double excess, double slack) {
-    /** In force when a deployment names none: the declared rate. */
+    /** Used when a deployment configures no bounds: the declared rate itself. */
     public static final Bounds NONE = new Bounds(1, 0);
 
     /** Requests in any second that all instances together may plan with. */
     double plannedPerSecond(Warmup warmup) {
-      return excess * warmup.perSecond() + SLACK_SHARE * slack;
+      return excess * warmup.perSecond() + PLANNED_SLACK_SHARE * slack;
     }
   }
 
-  /** The share of one instance. */
+  /** Returns the share of one instance. */
   public static ColdShare of(Warmup warmup, Bounds bounds, SenderSelection selection) {
     if (!warmup.limited()) {
       return UNLIMITED;
--- a/front/src/main/java/org/magnoliaswitch/front/load/InstanceIndex.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/InstanceIndex.java
@@ -1,14 +1,13 @@
 package org.magnoliaswitch.front.load;
 
 /**
- * The place of an instance among all that listen to one seed; no two of them have the same.
+ * The index of an instance among all instances that listen to the same seed; each index is unique.
  *
- * <p>Instances do not know each other. With places, a number of them is drawn exactly and without a
- * word: each works out by itself whether it is one of them.
+ * <p>Instances do not coordinate. With indexes, an exact number of instances can be selected
+ * without communication: each computes by itself whether it is selected.
  *
- * @param index place of this instance, from 0
- * @param count how many places there are, those of instances that left and were not replaced
- *     included
+ * @param index index of this instance, from 0
+ * @param count number of indexes, including those of instances that left and were not replaced
  */
 public record InstanceIndex(int index, int count) {
   public InstanceIndex {
@@ -19,18 +18,18 @@
   }
 
   /**
-   * Whether this instance is one of a number of them drawn for a name. One place more or less
-   * changes a draw by one instance at most, so those that do not know of it yet draw nearly the
-   * same.
+   * Whether this instance is among the {@code selectedCount} instances that are selected for a
+   * name. Adding or removing one index changes a selection by at most one instance, so instances
+   * that do not know of the change yet select nearly the same set.
    */
   public boolean selected(String name, int selectedCount) {
-    long own = NameHash.of(String.valueOf(index), name);
-    int before = 0;
-    for (int other = 0; other < count && before < selectedCount; other++) {
-      if (other != index && NameHash.of(String.valueOf(other), name) > own) {
-        before++;
+    long ownHash = NameHash.of(String.valueOf(index), name);
+    int rankedHigher = 0;
+    for (int other = 0; other < count && rankedHigher < selectedCount; other++) {
+      if (other != index && NameHash.of(String.valueOf(other), name) > ownHash) {
+        rankedHigher++;
       }
     }
-    return before < selectedCount;
+    return rankedHigher < selectedCount;
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/load/LoadSample.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/LoadSample.java
@@ -3,18 +3,20 @@
 import java.util.Optional;
 
 /**
- * What a backend server says of its load at one moment.
+ * The load that a backend server reports at one moment.
  *
- * @param running requests it executes
+ * @param running requests in execution
  * @param waiting requests in its queue
- * @param slots requests it executes at once
- * @param slowness how long work takes on its machine at this moment; 1 is usual
+ * @param slots requests that it can execute concurrently
+ * @param slowness factor by which work currently takes longer on its machine; 1 is normal
  */
 public record LoadSample(int running, int waiting, int slots, double slowness) {
   private static final int MIN_FIELDS = 3;
   private static final double PERCENT = 100.0;
 
-  /** Parses {@code running,waiting,slots[,slowness in percent]}; malformed text gives nothing. */
+  /**
+   * Parses {@code running,waiting,slots[,slowness in percent]}; returns empty for malformed text.
+   */
   public static Optional<LoadSample> parse(String text) {
     String[] fields = text.split(",", -1);
     if (fields.length < MIN_FIELDS) {
@@ -34,14 +36,14 @@
     }
   }
 
-  /** The load once one request that this sample counts has left. */
+  /** The load after one of the requests counted in this sample has left the server. */
   public LoadSample withoutOneRequest() {
     return waiting > 0
         ? new LoadSample(running, waiting - 1, slots, slowness)
         : new LoadSample(Math.max(0, running - 1), 0, slots, slowness);
   }
 
-  /** Requests that the server holds. */
+  /** Requests that are outstanding at the server, running or waiting. */
   public int outstanding() {
     return running + waiting;
   }
--- a/front/src/main/java/org/magnoliaswitch/front/load/Mechanism.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/Mechanism.java
@@ -1,52 +1,56 @@
 package org.magnoliaswitch.front.load;
 
 /**
- * Parts of the decisions under load that can be switched off one by one, to find out what each is
- * worth. None of them guards a promise: at most once, whole answers and drains hold without.
+ * Parts of the decisions under load that can be disabled individually, to find out the effect of
+ * each. None of them is needed for correctness: at-most-once execution, complete answers and
+ * draining work without them.
  */
 public enum Mechanism {
-  /** Servers are asked for their load before a request is placed. */
+  /** Probes servers for their load before a request is placed. */
   ASKING,
-  /** One server is asked first, and further ones when it is slow or full. */
+  /** Probes one server first, and further ones when it is slow or full. */
   FURTHER_ROUNDS,
-  /** After the last round a request goes to a server that was just heard of, or waits. */
+  /** After the last probe round, a request goes to a server with a fresh load sample, or waits. */
   KNOWN_ROOM,
-  /** A server gets no more requests than it can run well. */
+  /** Limits the outstanding requests of a server to the number it executes without slowing down. */
   KNEE_BOUND,
-  /** Where no server has room below that, the last slot of one is filled if it serves more so. */
+  /**
+   * Fills the last slot of a server when no server has capacity below the knee and that raises the
+   * throughput.
+   */
   LAST_SLOT,
-  /** A request starts only where its answer can be expected in time. */
+  /** Starts a request only on a server whose answer is expected in time. */
   START_IN_TIME,
-  /** An answer's load sample is taken without the request it came with. */
+  /** Subtracts the answered request from the load sample in its answer. */
   EXACT_REPORTS,
-  /** A request waits while all servers are busy. */
+  /** Lets a request wait while all servers are busy. */
   WAITING,
-  /** Late requests yield while others wait. */
+  /** Lets late requests yield capacity while other requests wait. */
   YIELDING,
-  /** Waiting requests go by chance, urgency and objective, not by age. */
+  /** Orders waiting requests by timeliness, priority and objective instead of age. */
   LINE_ORDER,
-  /** An overdue idempotent request is sent to a second server. */
+  /** Sends an overdue idempotent request to a second server. */
   HEDGING,
-  /** Callers whose request a server rejected may return at once. */
+  /** Lets callers whose request a server rejected retry immediately. */
   PROMPT_RETURNS,
-  /** Refused callers are told different times to come back. */
+  /** Spreads the retry times that refused callers are told. */
   SPREAD_RETURNS,
-  /** Further sends go to callers that cannot come back before others. */
+  /** Prefers callers that cannot retry when further attempts are made. */
   LAST_TRIES_FIRST,
-  /** Servers that failed lately are passed by. */
+  /** Avoids servers with recent failures. */
   FAILURE_MEMORY,
-  /** Servers whose own answers were slow lately are passed by. */
+  /** Avoids servers whose recent answers to this instance were slow. */
   LATENCY_MEMORY,
-  /** Servers that have just started are passed by. */
+  /** Avoids servers that have just started. */
   WARMTH,
-  /** A server of the own data centre goes before one that is as good. */
+  /** Prefers a server in the instance's own data centre among equally good ones. */
   NEAR_FIRST,
-  /** Of a large service an instance sends to a part of the servers. */
+  /** Restricts an instance to a subset of the servers of a large service. */
   SUBSET,
-  /** Others take the place of servers that cannot be reached. */
+  /** Replaces unreachable servers in the subset. */
   REPLACEMENTS,
-  /** What may run once is written only on connections used a moment ago. */
+  /** Writes requests that may be executed at most once only to recently used connections. */
   FRESH_CONNECTIONS,
-  /** Requests wait for the first configuration after a start. */
+  /** Holds requests until the first configuration after a start has arrived. */
   FIRST_CONFIGURATION
 }
--- a/front/src/main/java/org/magnoliaswitch/front/load/Mechanisms.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/Mechanisms.java
@@ -4,12 +4,12 @@
 import java.util.Set;
 
 /**
- * Which mechanisms are in force.
+ * The mechanisms in force.
  *
- * @param disabled those switched off, for experiments; none in service
+ * @param disabled mechanisms switched off for experiments; empty in production
  */
 public record Mechanisms(Set<Mechanism> disabled) {
-  /** All of them. */
+  /** All mechanisms in force. */
   public static final Mechanisms ALL = new Mechanisms(Set.of());
 
   public Mechanisms {
@@ -21,7 +21,7 @@
     return !disabled.contains(mechanism);
   }
 
-  /** The same with one more switched off. */
+  /** Returns a copy with one more mechanism switched off. */
   public Mechanisms without(Mechanism mechanism) {
     EnumSet<Mechanism> more = EnumSet.of(mechanism);
     more.addAll(disabled);
--- a/front/src/main/java/org/magnoliaswitch/front/load/NameHash.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/NameHash.java
@@ -1,6 +1,6 @@
 package org.magnoliaswitch.front.load;
 
-/** Hashes two names to one well-mixed number: names often differ in one digit only. */
+/** Hashes two names to a well-mixed number, because names often differ in a single digit. */
 final class NameHash {
   private NameHash() {}
 
--- a/front/src/main/java/org/magnoliaswitch/front/load/PendingQueue.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/PendingQueue.java
@@ -7,24 +7,24 @@
 import java.util.PriorityQueue;
 
 /**
- * Requests that wait for room at a service's servers; used by one thread only.
+ * Requests that wait for capacity at the servers of a service. Not thread-safe.
  *
- * <p>Those that can still be in time go before late ones, then the most urgent, and of equals the
- * one whose objective ends first. None waits long: one that cannot be placed soon is refused while
- * its caller still has time to come back.
+ * <p>Timely requests go before late ones, then requests of the most urgent routes, and among equals
+ * the one whose objective ends first. No request waits long: one that cannot be placed soon is
+ * refused while its caller still has time to retry.
  *
  * @param <T> a waiting request
  */
 public final class PendingQueue<T extends PendingQueue.Entry> {
-  /** What decides a request's place; must not change while it waits. */
+  /** The properties that determine a request's position; they must not change while it waits. */
   public interface Entry {
-    /** Whether the request could still be in time when it began to wait. */
+    /** Whether the request could still be answered in time when it was queued. */
     Timeliness queuedTimeliness();
 
-    /** Rank of the route among others; 0 is the most urgent. */
+    /** Priority of the route; 0 is the most urgent. */
     int priority();
 
-    /** When an answer loses most of its value. */
+    /** When the latency objective ends, after which an answer loses most of its value. */
     long objectiveEndNanos();
   }
 
@@ -45,28 +45,28 @@
     return Comparator.comparingLong(Entry::objectiveEndNanos);
   }
 
-  /** Adds a request. */
+  /** Adds a request to the queue of a service. */
   public void add(String service, T request) {
     byService.computeIfAbsent(service, name -> new PriorityQueue<>(order)).add(request);
   }
 
-  /** Takes a request out, if it is there. */
+  /** Removes a request from the queue of a service if it is present. */
   public void remove(String service, T request) {
-    PriorityQueue<T> line = byService.get(service);
-    if (line != null) {
-      line.remove(request);
+    PriorityQueue<T> queue = byService.get(service);
+    if (queue != null) {
+      queue.remove(request);
     }
   }
 
-  /** Requests that wait for a service. */
+  /** Number of requests that wait for a service. */
   public int size(String service) {
-    PriorityQueue<T> line = byService.get(service);
-    return line == null ? 0 : line.size();
+    PriorityQueue<T> queue = byService.get(service);
+    return queue == null ? 0 : queue.size();
   }
 
-  /** The request that goes next. */
+  /** Returns the next request of a service without removing it. */
   public Optional<T> peek(String service) {
-    PriorityQueue<T> line = byService.get(service);
-    return line == null ? Optional.empty() : Optional.ofNullable(line.peek());
+    PriorityQueue<T> queue = byService.get(service);
+    return queue == null ? Optional.empty() : Optional.ofNullable(queue.peek());
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/load/PlacementContext.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/PlacementContext.java
@@ -1,14 +1,14 @@
 package org.magnoliaswitch.front.load;
 
 /**
- * What the choice of a server for one request depends on besides the servers.
+ * The inputs for placing one request, besides the servers.
  *
  * @param expectedNanos usual latency of such a request on an undisturbed server
- * @param allowedNanos time until an answer loses most of the value that it can still have
- * @param timeliness whether the request can be in time
- * @param load what is known of the service as a whole
- * @param dataCentre where this instance runs
- * @param mechanisms which parts of the decision are in force
+ * @param allowedNanos time until an answer loses most of its remaining value
+ * @param timeliness whether the request can still be answered in time
+ * @param load known load of the service as a whole
+ * @param dataCentre data centre of this instance
+ * @param mechanisms the mechanisms in force
  * @param nowNanos monotonic time
  */
 public record PlacementContext(
--- a/front/src/main/java/org/magnoliaswitch/front/load/ProbeShare.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/ProbeShare.java
@@ -1,31 +1,31 @@
 package org.magnoliaswitch.front.load;
 
 /**
- * How often one instance may ask one server for its load; pure.
+ * The rate at which one instance may probe one server for its load. Stateless and free of I/O.
  *
- * <p>A server's budget holds over all instances together, and they do not agree on it: each takes
- * an even share of what is allowed, counting those that send to the server at all. Shared among all
- * instances of a large deployment it would allow each a question in many seconds, and most requests
- * would be placed without.
+ * <p>The probe budget of a server covers all instances together, and the instances do not
+ * coordinate: each takes an equal share, divided among the instances that send to the server at
+ * all. Divided among all instances of a large deployment, it would allow each of them a probe in
+ * many seconds, and most requests would be placed without one.
  */
 public final class ProbeShare {
-  /** Instances may be more than this one knows of. */
+  /** Allowance for instances that this one does not know of. */
   private static final double INSTANCE_MARGIN = 1.3;
 
-  /** Hashing puts up to twice as many instances on one server as on others. */
-  private static final double PART_MARGIN = 2;
+  /** Hashing assigns up to twice as many instances to one server as to others. */
+  private static final double SUBSET_MARGIN = 2;
 
   private ProbeShare() {}
 
   /**
-   * Questions a second.
+   * Returns the probes per second.
    *
-   * @param budget questions a second that a server may get from all instances together
-   * @param instances how many instances serve, as far as known
-   * @param part share of the service's servers that each instance sends to
+   * @param budget probes per second that a server may receive from all instances together
+   * @param instances known number of serving instances
+   * @param subsetShare share of the service's servers that each instance sends to
    */
-  public static double perSecond(double budget, int instances, double part) {
-    double sharers = Math.max(1, instances) * Math.min(1, PART_MARGIN * part);
-    return budget / (INSTANCE_MARGIN * Math.max(1, sharers));
+  public static double perSecond(double budget, int instances, double subsetShare) {
+    double senders = Math.max(1, instances) * Math.min(1, SUBSET_MARGIN * subsetShare);
+    return budget / (INSTANCE_MARGIN * Math.max(1, senders));
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/load/RateLimitShare.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/RateLimitShare.java
@@ -3,38 +3,40 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How much one instance may send to one server that limits the requests a second that it takes from
- * all instances together; pure.
+ * The rate at which one instance may send requests to one server that limits the requests per
+ * second from all instances together.
  *
- * <p>Load pattern: an overloaded server names a rate far below what it gets, looks idle to all
- * instances, and none of them sees what the others send.
+ * <p>Load pattern: an overloaded server sets a limit far below the rate it receives, appears idle
+ * to all instances, and none of them sees the requests of the others.
  *
- * <p>Each instance gets an even part of a span's requests; instances that are drawn for the server
- * share what is left of the division. In a span of a second most would have no part.
+ * <p>Each instance gets an equal share of the requests of a window; the remainder of the division
+ * goes to instances that are selected for the server. With a window of one second, most instances
+ * would get no share.
  *
- * @param maxPerWindow sends of this instance to the server in any span of {@link #WINDOW_NANOS}
+ * @param maxPerWindow requests of this instance to the server in any window of {@link
+ *     #WINDOW_NANOS}
  */
 public record RateLimitShare(int maxPerWindow) {
-  /** Span over which the limit is kept. */
+  /** Window in which the limit is kept. */
   public static final long WINDOW_NANOS = TimeUnit.SECONDS.toNanos(4);
 
   private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
-  /** Hashing puts more instances on one server than on others. */
-  private static final double PART_MARGIN = 1.6;
+  /** Hashing assigns more instances to one server than to others. */
+  private static final double SUBSET_MARGIN = 1.6;
 
   /**
-   * The share of one instance.
+   * Returns the share of one instance.
    *
-   * @param perSecond requests a second that the server takes from all instances
-   * @param part share of the service's servers that each instance sends to
+   * @param perSecond requests per second that the server accepts from all instances
+   * @param subsetShare share of the service's servers that each instance sends to
    */
-  public static RateLimitShare of(double perSecond, SenderSelection selection, double part) {
+  public static RateLimitShare of(double perSecond, SenderSelection selection, double subsetShare) {
     double planned = perSecond * WINDOW_NANOS / NANOS_PER_SECOND;
-    double senders = Math.max(1, selection.candidates() * Math.min(1, PART_MARGIN * part));
-    double even = planned / senders;
-    int whole = (int) even;
-    boolean oneMore = selection.selected((even - whole) * selection.candidates());
-    return new RateLimitShare(whole + (oneMore ? 1 : 0));
+    double senders = Math.max(1, selection.candidates() * Math.min(1, SUBSET_MARGIN * subsetShare));
+    double evenShare = planned / senders;
+    int wholeRequests = (int) evenShare;
+    boolean extraRequest = selection.selected((evenShare - wholeRequests) * selection.candidates());
+    return new RateLimitShare(wholeRequests + (extraRequest ? 1 : 0));
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/load/SendWindow.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/SendWindow.java
@@ -5,62 +5,62 @@
 import java.util.Iterator;
 
 /**
- * Recent sends; used by one thread only.
+ * Sliding window over the times of recent requests to a server. Not thread-safe.
  *
- * <p>Unlike a token bucket it saves nothing up: no span, wherever it begins, holds more than what
- * is allowed.
+ * <p>Unlike a token bucket, it accumulates no unused capacity: no window, wherever it begins,
+ * contains more requests than allowed.
  */
 final class SendWindow {
-  private final long keptNanos;
-  private final Deque<Long> sends = new ArrayDeque<>(1);
+  private final long retentionNanos;
+  private final Deque<Long> sendTimes = new ArrayDeque<>(1);
 
   /**
-   * Creates an empty one.
+   * Creates an empty window.
    *
-   * @param keptNanos longest span that is asked for
+   * @param retentionNanos longest span that is queried
    */
-  SendWindow(long keptNanos) {
-    this.keptNanos = keptNanos;
+  SendWindow(long retentionNanos) {
+    this.retentionNanos = retentionNanos;
   }
 
-  /** Counts a send. */
+  /** Adds a request. */
   void add(long nowNanos) {
-    forget(nowNanos);
-    sends.addLast(nowNanos);
+    removeExpired(nowNanos);
+    sendTimes.addLast(nowNanos);
   }
 
-  /** Sends of the last span. */
-  int size(long spanNanos, long nowNanos) {
-    forget(nowNanos);
-    int size = 0;
-    Iterator<Long> latestFirst = sends.descendingIterator();
-    while (latestFirst.hasNext() && nowNanos - latestFirst.next() <= spanNanos) {
-      size++;
+  /** Number of requests in the last span. */
+  int count(long spanNanos, long nowNanos) {
+    removeExpired(nowNanos);
+    int count = 0;
+    Iterator<Long> newestFirst = sendTimes.descendingIterator();
+    while (newestFirst.hasNext() && nowNanos - newestFirst.next() <= spanNanos) {
+      count++;
     }
-    return size;
+    return count;
   }
 
   /**
-   * Time until the last span holds fewer sends than a number of them, if none is added; 0 if it
-   * does now.
+   * Time until the last span contains fewer than {@code limit} requests if none is added; 0 if it
+   * already does.
    *
-   * @param most at least one
+   * @param limit at least 1
    */
-  long untilFewerThan(int most, long spanNanos, long nowNanos) {
-    forget(nowNanos);
-    Iterator<Long> latestFirst = sends.descendingIterator();
-    for (int i = 1; latestFirst.hasNext(); i++) {
-      long sent = latestFirst.next();
-      if (i == most) {
+  long nanosUntilFewerThan(int limit, long spanNanos, long nowNanos) {
+    removeExpired(nowNanos);
+    Iterator<Long> newestFirst = sendTimes.descendingIterator();
+    for (int i = 1; newestFirst.hasNext(); i++) {
+      long sent = newestFirst.next();
+      if (i == limit) {
         return Math.max(0, sent + spanNanos + 1 - nowNanos);
       }
     }
     return 0;
   }
 
-  private void forget(long nowNanos) {
-    while (!sends.isEmpty() && nowNanos - sends.peekFirst() > keptNanos) {
-      sends.removeFirst();
+  private void removeExpired(long nowNanos) {
+    while (!sendTimes.isEmpty() && nowNanos - sendTimes.peekFirst() > retentionNanos) {
+      sendTimes.removeFirst();
     }
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/load/SenderSelection.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/SenderSelection.java
@@ -3,32 +3,35 @@
 import java.util.Optional;
 
 /**
- * Draws few of all instances as the senders to one backend server; pure.
+ * Selects a few of all instances as the senders to one backend server. Stateless and free of I/O.
  *
- * <p>Instances do not ask each other who sends. An instance that has a place among all of them
- * draws an exact number of senders. One without hashes its name, and so few are drawn on average
- * that a draw of more than allowed is most unlikely.
+ * <p>Instances do not coordinate. Among instances with an index, an exact number of senders is
+ * selected. An instance without an index hashes its name instead, and the mean number of senders is
+ * kept so low that selecting more than allowed is very unlikely.
  *
  * @param instance name of this instance
- * @param incarnation names the server and its start
- * @param instances how many instances serve, as far as known
- * @param instanceIndex the instance's place among them, if it has one
+ * @param incarnation identifies the server and its start
+ * @param instances known number of serving instances
+ * @param instanceIndex index of this instance, if it has one
  */
 public record SenderSelection(
     String instance, String incarnation, int instances, Optional<InstanceIndex> instanceIndex) {
   /**
-   * Part of the allowed senders that places draw. While a seed ends, some instances have their
-   * places from it and others from the next one: the two draws of a server add up.
+   * Part of the allowed senders that is selected by index. While a seed fails over, some instances
+   * have their index from it and others from the next seed, so that the selections of both add up.
    */
   private static final double INDEXED_SHARE = 0.75;
 
-  /** Standard deviations of the number of drawn instances that lie below the bound. */
+  /** Distance, in standard deviations, of the mean number of selected instances below the bound. */
   private static final double SELECTION_MARGIN = 3;
 
-  /** An instance that knows of no other may just not have heard of it. */
+  /**
+   * Lower bound for the instance count: an instance that knows no other may not have discovered it
+   * yet.
+   */
   private static final int MIN_INSTANCES = 2;
 
-  /** Instances that may send to the server at the same time. */
+  /** Number of instances that may send to the server at the same time. */
   int candidates() {
     return Math.max(MIN_INSTANCES, instances);
   }
@@ -36,11 +39,11 @@
   /**
    * Whether this instance is one of the senders.
    *
-   * @param maxSenders how many of all instances may be
+   * @param maxSenders number of senders allowed over all instances
    */
   boolean selected(double maxSenders) {
     return instanceIndex
-        .map(known -> known.selected(incarnation, indexedSenders(maxSenders)))
+        .map(index -> index.selected(incarnation, indexedSenders(maxSenders)))
         .orElseGet(() -> unitHash() < meanSenders(maxSenders) / candidates());
   }
 
@@ -48,14 +51,17 @@
     return (int) Math.max(Math.min(1, maxSenders), INDEXED_SHARE * maxSenders);
   }
 
-  /** Mean number of senders at which the allowed number lies the margin above it. */
+  /**
+   * Mean number of senders for which the allowed number is {@link #SELECTION_MARGIN} standard
+   * deviations higher.
+   */
   private static double meanSenders(double maxSenders) {
     double root =
         (Math.sqrt(SELECTION_MARGIN * SELECTION_MARGIN + 4 * maxSenders) - SELECTION_MARGIN) / 2;
     return root * root;
   }
 
-  /** A number from 0 to 1 that depends on both names only. */
+  /** Maps both names to a number from 0 to 1. */
   private double unitHash() {
     return (NameHash.of(instance, incarnation) >>> 11) * 0x1.0p-53;
   }
--- a/front/src/main/java/org/magnoliaswitch/front/load/ServerNotice.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/ServerNotice.java
@@ -3,22 +3,25 @@
 import java.util.OptionalDouble;
 
 /**
- * What a backend server asks of its callers in one answer.
+ * Backpressure that a backend server signals in one answer.
  *
- * @param leaving whether it leaves and takes no new work
- * @param requestsPerSecond requests a second that it takes from all instances together, if it
- *     limits them
- * @param pauseNanos time for which this instance is to send it nothing; 0 if it asks for no pause
+ * @param leaving whether the server is leaving and accepts no new work
+ * @param requestsPerSecond requests per second that it accepts from all instances together; empty
+ *     if it sets no limit
+ * @param pauseNanos time for which this instance must not send it requests; 0 for no pause
  */
 public record ServerNotice(boolean leaving, OptionalDouble requestsPerSecond, long pauseNanos) {
-  /** Asks for nothing. */
+  /** Notice without any backpressure. */
   public static final ServerNotice NONE = new ServerNotice(false, OptionalDouble.empty(), 0);
 
-  /** Refuses what no server can mean; {@link IllegalArgumentException}. */
+  /** Rejects a negative pause or limit with an {@link IllegalArgumentException}. */
   public ServerNotice {
     if (pauseNanos < 0 || requestsPerSecond.orElse(0) < 0) {
       throw new IllegalArgumentException(
-          "a pause of " + pauseNanos + " ns, a limit of " + requestsPerSecond);
+          "pause and limit must not be negative: pauseNanos "
+              + pauseNanos
+              + ", requestsPerSecond "
+              + requestsPerSecond);
     }
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/load/ServerSelection.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/ServerSelection.java
@@ -7,51 +7,55 @@
 import org.magnoliaswitch.front.load.Placement.Ranked;
 
 /**
- * Decides whether a ranking is good enough to place a request, or whom to ask first; pure.
+ * Decides whether a ranking is reliable enough to place a request, or which servers to probe first.
+ * Stateless and free of I/O.
  *
- * <p>Load pattern: neighbours make a quarter of the servers several times slower, anew every few
- * hundred milliseconds, so news from other answers are mostly too old to tell who is slow now. When
- * the asked ones turn out to be slow or full, those ranked next are known no better than they were,
- * so these are asked too.
+ * <p>Load pattern: other processes make a quarter of the servers several times slower, a different
+ * quarter every few hundred milliseconds, so samples from earlier answers are mostly too old to
+ * show which servers are slow now. When the probed servers turn out to be slow or full, nothing new
+ * is known about those ranked next, so these are probed too.
  *
- * <p>When all that were asked are full, one that was not asked only seems to have room: while many
- * callers press it is as full as they are, and a request sent there waits behind others or is
- * rejected. So it goes to none, and the next search asks further ones.
+ * <p>When all probed servers are full, a server that was not probed only appears to have capacity:
+ * under high load it is as full as the others, and a request sent there queues or is rejected. The
+ * request is then placed nowhere, and the next search probes further servers.
  */
 public final class ServerSelection {
   /**
-   * Candidates asked in each round; a round takes a few milliseconds, twelve where one is silent.
-   * Mostly the first one will do, so one is asked first.
+   * Number of servers probed in each round. A round takes a few milliseconds, or twelve if a server
+   * does not answer. The first server is usually good enough, so the first round probes only that.
    */
   private static final List<Integer> ROUNDS = List.of(1, 2, 3);
 
-  /** The same with a single round: of three, one is undisturbed nearly always. */
+  /**
+   * Number of servers probed when there is a single round: one of three is nearly always
+   * undisturbed.
+   */
   private static final List<Integer> SINGLE_ROUND = List.of(3);
 
-  /** A load sample this young needs no confirmation. */
-  private static final long FRESH_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
+  /** Maximum age of a load sample that needs no confirmation by a probe. */
+  private static final long MAX_FRESH_AGE_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
 
-  /** A sample that shows no more than this counts as undisturbed. */
-  private static final double UNDISTURBED = 1.3;
+  /** Maximum slowness in a sample of a server that counts as undisturbed. */
+  private static final double UNDISTURBED_SLOWNESS = 1.3;
 
   private ServerSelection() {}
 
-  /** What to do next with a request. */
+  /** The next step in placing a request. */
   public sealed interface Step {
-    /** Send it to a server. */
+    /** Send the request to a server. */
     record Send(ServerState server) implements Step {}
 
-    /** Ask some servers for their load and decide again; never empty. */
+    /** Probe some servers for their load and decide again; the list is never empty. */
     record Probe(List<ServerState> servers) implements Step {
       public Probe {
         servers = List.copyOf(servers);
       }
     }
 
-    /** There are servers, and all of them are busy. */
+    /** There are eligible servers, but all of them are busy. */
     record AllBusy() implements Step {}
 
-    /** No server may get it. */
+    /** There is no eligible server. */
     record NoServer() implements Step {}
   }
 
@@ -63,72 +67,80 @@
   }
 
   /**
-   * The next step of a search.
+   * Returns the next step of a search.
    *
-   * @param ranked servers that may get the request, best first
-   * @param round how often servers were asked in this search
-   * @param askable whether the servers can be asked for their load
+   * @param ranked eligible servers, best first
+   * @param round number of probe rounds already made in this search
+   * @param probeable whether the servers can be probed for their load
    */
   public static Step next(
-      List<Ranked> ranked, PlacementContext context, int round, boolean askable) {
+      List<Ranked> ranked, PlacementContext context, int round, boolean probeable) {
     long nowNanos = context.nowNanos();
-    Step step = decided(ranked, context);
-    boolean sure = step instanceof Step.Send send && confirmed(send.server(), nowNanos);
+    Step step = decide(ranked, context);
+    boolean confirmed =
+        step instanceof Step.Send send && freshAndUndisturbed(send.server(), nowNanos);
     List<Integer> rounds = rounds(context);
-    boolean reported = askable && context.load().reporting();
-    if (ranked.isEmpty() || !reported || sure) {
+    boolean mayProbe = probeable && context.load().reportsLoad();
+    if (ranked.isEmpty() || !mayProbe || confirmed) {
       return step;
     }
     if (round >= rounds.size()) {
-      boolean asked = !rounds.isEmpty() && context.enabled(Mechanism.KNOWN_ROOM);
-      return asked ? amongKnown(ranked, context, step) : step;
+      boolean probed = !rounds.isEmpty() && context.enabled(Mechanism.KNOWN_ROOM);
+      return probed ? decideAmongKnown(ranked, context, step) : step;
     }
-    List<ServerState> unsure =
+    List<ServerState> toProbe =
         ranked.stream()
             .map(Ranked::server)
-            .filter(server -> !known(server, nowNanos))
+            .filter(server -> !wellKnown(server, nowNanos))
             .limit(rounds.get(round))
             .toList();
-    return unsure.isEmpty() ? step : new Step.Probe(unsure);
+    return toProbe.isEmpty() ? step : new Step.Probe(toProbe);
   }
 
-  /** The decision among the servers that are known well; the other one if there are none. */
-  private static Step amongKnown(List<Ranked> ranked, PlacementContext context, Step otherwise) {
-    List<Ranked> known =
-        ranked.stream().filter(one -> known(one.server(), context.nowNanos())).toList();
-    return known.isEmpty() ? otherwise : decided(known, context);
+  /**
+   * Decides among the servers with reliable load information; returns the fallback if there are
+   * none.
+   */
+  private static Step decideAmongKnown(
+      List<Ranked> ranked, PlacementContext context, Step fallback) {
+    List<Ranked> wellKnown =
+        ranked.stream()
+            .filter(candidate -> wellKnown(candidate.server(), context.nowNanos()))
+            .toList();
+    return wellKnown.isEmpty() ? fallback : decide(wellKnown, context);
   }
 
-  /** After the last round, whether the asked servers have answered or were waited for in vain. */
-  private static Step decided(List<Ranked> ranked, PlacementContext context) {
+  /** Decides without further probes, whether or not all probed servers have answered. */
+  private static Step decide(List<Ranked> ranked, PlacementContext context) {
     if (ranked.isEmpty()) {
       return new Step.NoServer();
     }
-    List<ServerState> fitting =
+    List<ServerState> inTime =
         ranked.stream().filter(Ranked::expectedInTime).map(Ranked::server).toList();
-    return first(fitting, server -> AdmissionLimit.hasCapacity(server, context))
-        .or(() -> first(fitting, server -> AdmissionLimit.mayExceedKnee(server, context)))
+    return first(inTime, server -> AdmissionLimit.hasCapacity(server, context))
+        .or(() -> first(inTime, server -> AdmissionLimit.mayExceedKnee(server, context)))
         .<Step>map(Step.Send::new)
         .orElseGet(Step.AllBusy::new);
   }
 
   private static Optional<ServerState> first(
-      List<ServerState> servers, Predicate<ServerState> wanted) {
-    return servers.stream().filter(wanted).findFirst();
+      List<ServerState> servers, Predicate<ServerState> condition) {
+    return servers.stream().filter(condition).findFirst();
   }
 
   /**
-   * Whether asking tells nothing more: a server with a limit has room for what its limit allows.
+   * Whether a probe would add no information. A server with a rate limit has capacity as long as
+   * its limit allows requests.
    */
-  private static boolean known(ServerState server, long nowNanos) {
+  private static boolean wellKnown(ServerState server, long nowNanos) {
     return fresh(server, nowNanos) || server.backpressure().requestsPerSecond().isPresent();
   }
 
-  private static boolean confirmed(ServerState server, long nowNanos) {
-    return fresh(server, nowNanos) && server.sample().slowness() <= UNDISTURBED;
+  private static boolean freshAndUndisturbed(ServerState server, long nowNanos) {
+    return fresh(server, nowNanos) && server.sample().slowness() <= UNDISTURBED_SLOWNESS;
   }
 
   private static boolean fresh(ServerState server, long nowNanos) {
-    return server.hasSample() && server.sampleAgeNanos(nowNanos) < FRESH_NANOS;
+    return server.hasSample() && server.sampleAgeNanos(nowNanos) < MAX_FRESH_AGE_NANOS;
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/load/ServerState.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/ServerState.java
@@ -4,44 +4,47 @@
 import org.magnoliaswitch.front.version.ServerEntry;
 
 /**
- * What this instance knows of one incarnation of a backend server; used by one thread only.
+ * The state of one incarnation of a backend server as observed by this instance. Not thread-safe.
  *
- * <p>First-hand news (own requests in flight, own failures, own latencies) are exact; a load sample
- * is stale as soon as it arrives and fades within a few hundred milliseconds.
+ * <p>First-hand observations (requests in flight, failures and latencies of this instance) are
+ * exact; a load sample is stale when it arrives and loses its weight within a few hundred
+ * milliseconds.
  */
 public final class ServerState {
-  /** A failure moves the failure share this far towards 1: two in a row make a server suspect. */
+  /** Weight of a failure in the moving failure share: two in a row make a server suspect. */
   private static final double FAILURE_WEIGHT = 0.35;
 
-  /** A success moves it less, so a server that fails every other request stays suspect. */
+  /** Weight of a success; lower, so that a server that fails every other request stays suspect. */
   private static final double SUCCESS_WEIGHT = 0.2;
 
   /**
-   * After this time a failure counts half: long enough to pass by a flapping server's bad phase.
+   * Half-life of the failure share: long enough to avoid a flapping server during its bad phase.
    */
   private static final double FAILURE_HALF_LIFE_NANOS = TimeUnit.SECONDS.toNanos(4);
 
-  /** Weight of one latency in the server's speed. */
-  private static final double SPEED_WEIGHT = 0.25;
+  /** Weight of one latency in the moving latency ratio. */
+  private static final double LATENCY_WEIGHT = 0.25;
 
-  /** After this time without samples the server's speed counts half, so that it is tried again. */
-  private static final double SPEED_HALF_LIFE_NANOS = TimeUnit.SECONDS.toNanos(4);
+  /** Half-life of the latency ratio without new answers, so that a slow server is tried again. */
+  private static final double LATENCY_HALF_LIFE_NANOS = TimeUnit.SECONDS.toNanos(4);
 
-  /** Bounds on one latency relative to the expected one, so that no single answer decides. */
-  private static final double MAX_SPEED_RATIO = 20;
+  /**
+   * Upper bound of one latency relative to the expected one, so that no single answer dominates.
+   */
+  private static final double MAX_LATENCY_RATIO = 20;
 
-  private static final double MIN_SPEED_RATIO = 0.3;
+  private static final double MIN_LATENCY_RATIO = 0.3;
 
-  /** Share of recent failures from which a server counts as suspect: two in a row. */
+  /** Failure share from which a server counts as suspect: two failures in a row. */
   private static final double SUSPECT_SHARE = 0.5;
 
   /**
-   * How long others take the place of a server that could not be reached: a process that starts
-   * again is back within seconds.
+   * How long an unreachable server is replaced by others: a restarted process is back within
+   * seconds.
    */
-  private static final long UNREACHABLE_NANOS = TimeUnit.SECONDS.toNanos(2);
+  private static final long UNREACHABLE_MEMORY_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-  /** A time that never comes. */
+  /** Wait time of a server that will not become available. */
   public static final long NEVER = Long.MAX_VALUE;
 
   private static final long SECOND_NANOS = TimeUnit.SECONDS.toNanos(1);
@@ -52,7 +55,7 @@
   private int idleConnections;
   private LoadSample sample;
   private long sampleNanos;
-  private int ownAtSample;
+  private int inFlightAtSample;
   private boolean hasSample;
   private double failureShare;
   private long failureNanos;
@@ -70,7 +73,10 @@
     this(entry, new Backpressure(), nowNanos);
   }
 
-  /** Creates the state of a server that has asked for something before it was listed (again). */
+  /**
+   * Creates the state of a server whose backpressure was received before discovery listed it
+   * (again).
+   */
   public ServerState(ServerEntry entry, Backpressure backpressure, long nowNanos) {
     this.entry = entry;
     this.backpressure = backpressure;
@@ -81,66 +87,73 @@
     this.coldUntilNanos = nowNanos + entry.warmupNanos();
   }
 
-  /** Takes a newer discovery entry of the same incarnation. */
-  public void update(ServerEntry next, long nowNanos) {
-    // An entry is seconds old and read many times: it may lengthen a warm-up once, never end one.
-    if (next.warmupNanos() != entry.warmupNanos()) {
-      lengthenWarmup(next.warmupNanos(), nowNanos);
+  /** Updates the discovery entry of the same incarnation. */
+  public void update(ServerEntry newEntry, long nowNanos) {
+    // An entry is seconds old and read repeatedly: it may extend a warm-up once, but never end it.
+    if (newEntry.warmupNanos() != entry.warmupNanos()) {
+      extendWarmup(newEntry.warmupNanos(), nowNanos);
     }
-    this.entry = next;
+    this.entry = newEntry;
   }
 
-  /** Takes the server's own word on how long it stays cold. */
+  /** Records the remaining warm-up time that the server itself reported. */
   public void recordWarmup(long leftNanos, long nowNanos) {
     coldUntilNanos = nowNanos + leftNanos;
     warmupConfirmed = true;
   }
 
-  /** It may have become cold, and stays so for a time unless it says otherwise. */
-  public void assumeCold(long spanNanos, long nowNanos) {
-    lengthenWarmup(spanNanos, nowNanos);
+  /** Assumes that the server has become cold, until it reports otherwise or the time has passed. */
+  public void assumeCold(long durationNanos, long nowNanos) {
+    extendWarmup(durationNanos, nowNanos);
     warmupConfirmed = false;
   }
 
-  /** Whether it counts as cold and its own word on that is not known. */
+  /** Whether the server counts as cold without having confirmed it. */
   public boolean warmupUnconfirmed(long nowNanos) {
     return !warmupConfirmed && cold(nowNanos);
   }
 
-  private void lengthenWarmup(long spanNanos, long nowNanos) {
-    if (nowNanos + spanNanos - coldUntilNanos > 0) {
-      coldUntilNanos = nowNanos + spanNanos;
+  private void extendWarmup(long durationNanos, long nowNanos) {
+    if (nowNanos + durationNanos - coldUntilNanos > 0) {
+      coldUntilNanos = nowNanos + durationNanos;
     }
   }
 
-  /** Counts a request that is about to be written; also while warm, for it may just have cooled. */
+  /**
+   * Records a request that is about to be written. Warm servers are included, because they may turn
+   * out to have become cold.
+   */
   public void recordWrite(long nowNanos) {
     recentWrites.add(nowNanos);
   }
 
-  /** Whether it is warm, or got less in the last second than a share allows. */
+  /**
+   * Whether the server is warm or has received fewer requests in the last second than a share
+   * allows.
+   */
   public boolean withinColdShare(ColdShare share, long nowNanos) {
-    return !cold(nowNanos) || recentWrites.size(SECOND_NANOS, nowNanos) < share.maxPerSecond();
+    return !cold(nowNanos) || recentWrites.count(SECOND_NANOS, nowNanos) < share.maxPerSecond();
   }
 
-  /** Time until it may get a request as far as a share of its rate limit decides it; 0 for now. */
+  /** Time until a share of the server's rate limit allows the next request; 0 if it does now. */
   public long nanosUntilAllowed(RateLimitShare share, long nowNanos) {
     return share.maxPerWindow() == 0
         ? NEVER
-        : recentWrites.untilFewerThan(share.maxPerWindow(), RateLimitShare.WINDOW_NANOS, nowNanos);
+        : recentWrites.nanosUntilFewerThan(
+            share.maxPerWindow(), RateLimitShare.WINDOW_NANOS, nowNanos);
   }
 
-  /** What it asks of its callers. */
+  /** The backpressure that the server has signalled. */
   public Backpressure backpressure() {
     return backpressure;
   }
 
-  /** Sets whether its data centre is evacuated. */
+  /** Sets whether the server's data centre is evacuated. */
   public void evacuated(boolean now) {
     evacuated = now;
   }
 
-  /** Whether its data centre is evacuated, so that nothing may be sent there. */
+  /** Whether the server's data centre is evacuated, in which case it must not receive requests. */
   public boolean evacuated() {
     return evacuated;
   }
@@ -150,93 +163,98 @@
     return entry;
   }
 
-  /** Notes that it is no longer listed or at its address, so that it gets nothing more. */
+  /**
+   * Marks the server as no longer listed or no longer at its address, so that it gets no requests.
+   */
   public void markRemoved() {
     removed = true;
   }
 
-  /** Notes that no connection to it could be opened. */
+  /** Records that no connection to the server could be opened. */
   public void markUnreachable(long nowNanos) {
     unreachable = true;
     unreachableNanos = nowNanos;
   }
 
-  /** Whether no connection to it could be opened lately, and it has not told its load since. */
+  /**
+   * Whether a connection attempt has failed recently and the server has not reported its load
+   * since.
+   */
   public boolean recentlyUnreachable(long nowNanos) {
-    return unreachable && nowNanos - unreachableNanos < UNREACHABLE_NANOS;
+    return unreachable && nowNanos - unreachableNanos < UNREACHABLE_MEMORY_NANOS;
   }
 
-  /** Whether new requests may go there. */
+  /** Whether the server may receive new requests. */
   public boolean acceptsWork() {
     return !removed && !evacuated && !entry.draining() && !backpressure.leaving();
   }
 
-  /** Counts a request that is about to be sent. */
+  /** Counts a request of this instance that is about to be sent. */
   public void requestStarted() {
     inFlight++;
   }
 
-  /** Counts the end of a request, however it ended. */
+  /** Counts the end of a request of this instance, whatever its outcome. */
   public void requestEnded() {
     inFlight--;
   }
 
-  /** Takes a load sample that came with an answer. */
-  public void recordSample(LoadSample next, int ownAmongHeld, long nowNanos) {
-    sample = next;
+  /** Records a load sample that arrived with an answer. */
+  public void recordSample(LoadSample newSample, int ownInSample, long nowNanos) {
+    sample = newSample;
     sampleNanos = nowNanos;
-    ownAtSample = ownAmongHeld;
+    inFlightAtSample = ownInSample;
     hasSample = true;
     unreachable = false;
   }
 
-  /** Notes a whole answer and how its latency compares with what was expected. */
+  /** Records a complete answer and the ratio of its latency to the expected latency. */
   public void recordSuccess(double ratioToExpected, long nowNanos) {
     failureShare = failureShare(nowNanos) * (1 - SUCCESS_WEIGHT);
     failureNanos = nowNanos;
-    double bounded = Math.clamp(ratioToExpected, MIN_SPEED_RATIO, MAX_SPEED_RATIO);
+    double bounded = Math.clamp(ratioToExpected, MIN_LATENCY_RATIO, MAX_LATENCY_RATIO);
     double before = latencyRatio(nowNanos);
-    latencyRatio = before + SPEED_WEIGHT * (bounded - before);
+    latencyRatio = before + LATENCY_WEIGHT * (bounded - before);
     latencyNanos = nowNanos;
   }
 
-  /** Notes that an answer is late already, so that others are not sent to wait behind it. */
+  /** Records that an answer is already overdue, so that further requests do not queue behind it. */
   public void recordOverdue(double ratioToExpected, long nowNanos) {
     double before = latencyRatio(nowNanos);
     if (ratioToExpected > before) {
-      latencyRatio = before + SPEED_WEIGHT * (ratioToExpected - before);
+      latencyRatio = before + LATENCY_WEIGHT * (ratioToExpected - before);
       latencyNanos = nowNanos;
     }
   }
 
-  /** Notes a failure that says something about the server. */
+  /** Records a failure that the server is responsible for. */
   public void recordFailure(long nowNanos) {
     double before = failureShare(nowNanos);
     failureShare = before + FAILURE_WEIGHT * (1 - before);
     failureNanos = nowNanos;
   }
 
-  /** Sets how many kept connections to the server are idle. */
+  /** Sets the number of idle kept-alive connections to the server. */
   public void idleConnections(int count) {
     idleConnections = count;
   }
 
-  /** Kept connections to the server that are idle. */
+  /** Number of idle kept-alive connections to the server. */
   public int idleConnections() {
     return idleConnections;
   }
 
-  /** Requests of this instance now at the server. */
+  /** Requests of this instance that are in flight at the server. */
   public int inFlight() {
     return inFlight;
   }
 
-  /** The last load sample, or an idle one while there is none. */
+  /** The last load sample, or that of an idle server if there is none. */
   public LoadSample sample() {
     return sample;
   }
 
-  /** Whether the server has ever told its load. */
+  /** Whether the server has ever reported its load. */
   public boolean hasSample() {
     return hasSample;
   }
@@ -246,28 +264,30 @@
     return nowNanos - sampleNanos;
   }
 
-  /** Requests of this instance that the server got since its last load sample, less those ended. */
-  public int ownSinceSample() {
-    return inFlight - ownAtSample;
+  /**
+   * Requests of this instance started at the server since its last load sample, minus those ended.
+   */
+  public int startedSinceSample() {
+    return inFlight - inFlightAtSample;
   }
 
-  /** Share of recent own requests that failed, 0 to 1, faded by age. */
+  /** Share of this instance's recent requests that failed, from 0 to 1, decaying with time. */
   public double failureShare(long nowNanos) {
     return failureShare * Math.pow(0.5, (nowNanos - failureNanos) / FAILURE_HALF_LIFE_NANOS);
   }
 
-  /** Whether so many recent own requests failed that others are preferred. */
+  /** Whether the share of recent failures is so high that other servers are preferred. */
   public boolean suspect(long nowNanos) {
     return failureShare(nowNanos) >= SUSPECT_SHARE;
   }
 
-  /** Own latencies relative to those expected of the service, faded by age towards 1. */
+  /** Ratio of this instance's latencies to those expected of the service, decaying towards 1. */
   public double latencyRatio(long nowNanos) {
-    double fade = Math.pow(0.5, (nowNanos - latencyNanos) / SPEED_HALF_LIFE_NANOS);
-    return 1 + (latencyRatio - 1) * fade;
+    double decay = Math.pow(0.5, (nowNanos - latencyNanos) / LATENCY_HALF_LIFE_NANOS);
+    return 1 + (latencyRatio - 1) * decay;
   }
 
-  /** Whether its caches are cold: it is slow and bears few requests. */
+  /** Whether the server's caches are cold: it is slow and can sustain few requests. */
   public boolean cold(long nowNanos) {
     return coldUntilNanos - nowNanos > 0;
   }
--- a/front/src/main/java/org/magnoliaswitch/front/load/ServerSubset.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/ServerSubset.java
@@ -11,66 +11,72 @@
 import org.magnoliaswitch.front.version.ServerEntry;
 
 /**
- * Which servers of a large service an instance sends to; pure.
+ * Selects the subset of a large service's servers that an instance sends to. Stateless and free of
+ * I/O.
  *
- * <p>Load pattern: many instances that each see few requests, and many servers. Spread over all of
- * them, an instance meets a server once in a minute: its connection is closed and its news are old
- * by then. Over a few, connections stay open, and a health check on one tells the load of the
- * moment. Each instance takes the servers that hash highest together with its own name, so that no
- * two instances take the same ones, and a server that joins or leaves moves no other.
+ * <p>Load pattern: many instances with few requests each, and many servers. If an instance spread
+ * its requests over all servers, it would use each of them about once a minute, when its connection
+ * is closed and its load sample outdated. With a subset, connections stay open, and a single probe
+ * shows the current load. Each instance ranks the servers by a hash of its own name and theirs
+ * (rendezvous hashing) and takes the first ones, so that subsets differ between instances, and a
+ * server that joins or leaves affects no other.
  */
 public final class ServerSubset {
   /**
-   * Instances that send to one server, on average. Fewer would leave some servers with hardly any;
-   * more know each server less, and meet at the few slots of one that seems free to all of them.
+   * Average number of instances that send to one server. With fewer, some servers get hardly any;
+   * with more, each knows its servers less well, and many compete for the few slots of a server
+   * that appears free to all of them.
    */
-  private static final int SENDERS = 13;
-
-  /** So few instances know all servers well, and meet seldom: each sends to all of them. */
-  private static final int FEW_INSTANCES = 20;
-
-  /** Fewest servers that an instance sends to: some may be gone, slow or cold at the same time. */
-  static final int LEAST = 8;
+  private static final int SENDERS_PER_SERVER = 13;
 
   /**
-   * Fewest of them that can be reached; others take the place of missing ones up to this number.
+   * Up to this number of instances, each of them knows all servers well and collisions are rare, so
+   * each sends to all servers.
    */
-  static final int LEAST_REACHABLE = 6;
+  private static final int MAX_INSTANCES_WITHOUT_SUBSETS = 20;
+
+  /** Minimum size of a subset: some servers may be gone, slow or cold at the same time. */
+  static final int MIN_SIZE = 8;
 
-  /** Most servers that an instance sends to while it cannot tell how many others there are. */
-  private static final int AT_START = 16;
+  /** Minimum number of reachable servers in a subset; unreachable servers are replaced up to it. */
+  static final int MIN_REACHABLE = 6;
 
-  /** Share of them that lie in the instance's own data centre, if there are as many. */
-  static final double NEAR_SHARE = 2 / 3.0;
+  /** Maximum size of a subset while the number of instances is unknown. */
+  private static final int INITIAL_SIZE = 16;
+
+  /** Share of a subset in the instance's own data centre, if it has enough servers. */
+  static final double LOCAL_SHARE = 2 / 3.0;
 
   private ServerSubset() {}
 
   /**
-   * How many servers of a service an instance sends to.
+   * Returns the number of servers that an instance sends to.
    *
-   * @param servers how many the service has
-   * @param instances how many instances serve
+   * @param servers number of servers of the service
+   * @param instances number of serving instances
    */
   public static int size(int servers, int instances) {
-    if (instances <= FEW_INSTANCES) {
+    if (instances <= MAX_INSTANCES_WITHOUT_SUBSETS) {
       return servers;
     }
-    double even = Math.ceil(SENDERS * (double) servers / instances);
-    return (int) Math.min(servers, Math.max(LEAST, even));
+    double evenSize = Math.ceil(SENDERS_PER_SERVER * (double) servers / instances);
+    return (int) Math.min(servers, Math.max(MIN_SIZE, evenSize));
   }
 
-  /** The same right after a start, when all instances may have started at once. */
+  /**
+   * Returns the size of a subset right after a start, when all instances may have started at once.
+   */
   public static int initialSize(int servers) {
-    return Math.min(servers, AT_START);
+    return Math.min(servers, INITIAL_SIZE);
   }
 
   /**
-   * The servers that an instance sends to.
+   * Selects the servers that an instance sends to.
    *
-   * @param size how many
-   * @param entry what discovery says of a server
+   * @param size size of the subset
+   * @param entry returns the discovery entry of a server
    * @param instance name of the instance
-   * @param dataCentre where it runs
+   * @param dataCentre data centre of the instance
    */
   public static <T> List<T> select(
       List<T> servers,
@@ -81,48 +87,48 @@
     if (servers.size() <= size) {
       return servers;
     }
-    long near = Math.round(NEAR_SHARE * size);
-    List<T> sorted = new ArrayList<>(servers);
-    sorted.sort(
+    long localCount = Math.round(LOCAL_SHARE * size);
+    List<T> byHash = new ArrayList<>(servers);
+    byHash.sort(
         Comparator.comparingLong(server -> NameHash.of(instance, entry.apply(server).id())));
-    List<T> chosen = new ArrayList<>(size);
-    for (T server : sorted) {
-      if (chosen.size() < near && entry.apply(server).dataCentre().equals(dataCentre)) {
-        chosen.add(server);
+    List<T> selected = new ArrayList<>(size);
+    for (T server : byHash) {
+      if (selected.size() < localCount && entry.apply(server).dataCentre().equals(dataCentre)) {
+        selected.add(server);
       }
     }
-    for (T server : sorted) {
-      if (chosen.size() < size && !chosen.contains(server)) {
-        chosen.add(server);
+    for (T server : byHash) {
+      if (selected.size() < size && !selected.contains(server)) {
+        selected.add(server);
       }
     }
-    return chosen;
+    return selected;
   }
 
   /**
-   * A part of the servers, with others in place of those that cannot be reached, up to a few. When
-   * a data centre falls silent, most servers of an instance there are gone, and its callers would
-   * be refused while servers elsewhere have room. With as many as before, all instances would press
-   * on the servers that are left and meet there. Those that are replaced stay in the part, to be
-   * found back.
+   * Selects a subset with replacements for unreachable servers, up to {@link #MIN_REACHABLE}. When
+   * a data centre becomes unreachable, an instance there loses most of its servers, and its callers
+   * would be refused although servers elsewhere have capacity. If subsets kept their full size, all
+   * instances would compete for the remaining servers. Replaced servers stay in the subset, so that
+   * they are noticed when they return.
    *
-   * @param unreachable servers to which no connection could be opened lately
-   * @param choose chooses a part of a list, the same for the same list
+   * @param unreachable servers to which no connection could be opened recently
+   * @param selector selects a subset of a list, deterministically
    */
   public static <T> List<T> withReplacements(
-      List<T> servers, Set<T> unreachable, UnaryOperator<List<T>> choose) {
-    Set<T> used = new LinkedHashSet<>(choose.apply(servers));
-    Predicate<T> gone = unreachable::contains;
-    long left = used.stream().filter(gone.negate()).count();
-    if (left == used.size() || left >= LEAST_REACHABLE) {
-      return new ArrayList<>(used);
+      List<T> servers, Set<T> unreachable, UnaryOperator<List<T>> selector) {
+    Set<T> selected = new LinkedHashSet<>(selector.apply(servers));
+    Predicate<T> isUnreachable = unreachable::contains;
+    long reachableCount = selected.stream().filter(isUnreachable.negate()).count();
+    if (reachableCount == selected.size() || reachableCount >= MIN_REACHABLE) {
+      return new ArrayList<>(selected);
     }
-    List<T> reachable = servers.stream().filter(gone.negate()).toList();
-    choose.apply(reachable).stream()
-        .filter(server -> !used.contains(server))
-        .limit(LEAST_REACHABLE - left)
+    List<T> reachable = servers.stream().filter(isUnreachable.negate()).toList();
+    selector.apply(reachable).stream()
+        .filter(server -> !selected.contains(server))
+        .limit(MIN_REACHABLE - reachableCount)
         .toList()
-        .forEach(used::add);
-    return new ArrayList<>(used);
+        .forEach(selected::add);
+    return new ArrayList<>(selected);
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/load/ServiceLoad.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/ServiceLoad.java
@@ -1,23 +1,31 @@
 package org.magnoliaswitch.front.load;
 
 /**
- * What a service's servers hold and how slow they are on average, learnt from every load sample;
- * used by one thread.
+ * Moving averages of the load and slowness of a service's servers, updated with every load sample.
+ * Not thread-safe.
  *
- * <p>It stands in for a server whose own sample is old: on a busy day such a server is busy too,
- * and taking it for idle would send it what it can only reject.
+ * <p>They replace the sample of a server whose own sample is old: under high load such a server is
+ * busy too, and treating it as idle would send it requests that it can only reject.
  */
 public final class ServiceLoad {
-  /** Weight of one sample: the last dozen count, which is about a second of one instance. */
-  private static final double WEIGHT = 0.08;
+  /**
+   * Weight of one sample: the average covers the last dozen samples, about a second of one
+   * instance.
+   */
+  private static final double OUTSTANDING_WEIGHT = 0.08;
 
-  /** Weight of one request: the last ten count, which is under a second in a burst. */
+  /** Weight of one request: the average covers the last ten, less than a second in a burst. */
   private static final double PRESSURE_WEIGHT = 0.1;
 
-  /** Share of requests in time that found no room at once, from which the service is pressed. */
-  private static final double PRESSED_SHARE = 0.3;
+  /**
+   * Share of timely requests without immediate capacity above which the service is under pressure.
+   */
+  private static final double PRESSURE_THRESHOLD = 0.3;
 
-  /** Weight of one sample: the last fifty count, some seconds, as long as neighbours stay alike. */
+  /**
+   * Weight of one sample: the average covers the last fifty, some seconds, for as long as the
+   * interference of other processes stays similar.
+   */
   private static final double SLOWNESS_WEIGHT = 0.02;
 
   /** Slowness assumed before the first samples: a quarter of the servers four times slower. */
@@ -25,61 +33,64 @@
 
   private double meanOutstanding;
   private double meanSlowness = INITIAL_SLOWNESS;
-  private boolean answersCountThemselves = true;
-  private double waitedShare;
-  private boolean reporting = true;
+  private boolean samplesIncludeAnswered = true;
+  private double shareWithoutCapacity;
+  private boolean reportsLoad = true;
 
-  /** Takes a sample of any server of the service. */
+  /** Records a load sample of any server of the service. */
   public void recordSample(LoadSample sample) {
-    reporting = true;
-    meanOutstanding += WEIGHT * (sample.outstanding() - meanOutstanding);
+    reportsLoad = true;
+    meanOutstanding += OUTSTANDING_WEIGHT * (sample.outstanding() - meanOutstanding);
     meanSlowness += SLOWNESS_WEIGHT * (sample.slowness() - meanSlowness);
   }
 
   /**
-   * The load after an answer, from the sample that came with it.
+   * Returns the load after an answer, from the sample that came with it.
    *
-   * <p>Most servers still count the request that they answer. Taken as it is, a server with three
-   * slots looked full whenever it had just become free, the next in line was not offered the slot,
-   * and a service at three quarters of its load refused requests in each second. A sample that
-   * counts nothing shows that this service's servers do not.
+   * <p>Most servers still count the request that they answer. Without the correction, a server with
+   * three slots appears full whenever a slot has just become free, the next waiting request does
+   * not get the slot, and a service at three quarters of its capacity refuses requests. A sample
+   * without running requests shows that the servers of this service do not count the answered
+   * request.
    */
-  public LoadSample afterAnswer(LoadSample told, Mechanisms mechanisms) {
+  public LoadSample afterAnswer(LoadSample reported, Mechanisms mechanisms) {
     if (!mechanisms.enabled(Mechanism.EXACT_REPORTS)) {
-      return told;
+      return reported;
     }
-    if (told.running() == 0) {
-      answersCountThemselves = false;
+    if (reported.running() == 0) {
+      samplesIncludeAnswered = false;
     }
-    return answersCountThemselves ? told.withoutOneRequest() : told;
+    return samplesIncludeAnswered ? reported.withoutOneRequest() : reported;
   }
 
-  /** Notes a health check whose answer told no load: asking again would only take a slot. */
+  /**
+   * Records a health check whose answer contained no load: probing again would only occupy a slot.
+   */
   public void markNotReporting() {
-    reporting = false;
+    reportsLoad = false;
   }
 
-  /** Notes whether a request that could be in time found room at once. */
+  /** Records whether a timely request found capacity immediately. */
   public void recordSearch(boolean foundCapacity) {
-    waitedShare += PRESSURE_WEIGHT * ((foundCapacity ? 0 : 1) - waitedShare);
+    shareWithoutCapacity += PRESSURE_WEIGHT * ((foundCapacity ? 0 : 1) - shareWithoutCapacity);
   }
 
-  /** Whether requests that could be in time have to wait for room. */
+  /** Whether timely requests have to wait for capacity. */
   public boolean underPressure() {
-    return waitedShare > PRESSED_SHARE;
+    return shareWithoutCapacity > PRESSURE_THRESHOLD;
   }
 
-  /** Whether servers of the service tell their load, as far as known. */
-  public boolean reporting() {
-    return reporting;
+  /** Whether servers of the service report their load, as far as known. */
+  public boolean reportsLoad() {
+    return reportsLoad;
   }
 
-  /** How much longer work takes on the service's servers on average; 1 is undisturbed. */
+  /** Average factor by which work takes longer on the service's servers; 1 is undisturbed. */
   public double meanSlowness() {
     return meanSlowness;
   }
 
-  /** Requests that a server of the service holds on average. */
+  /** Average number of outstanding requests per server of the service. */
   public double meanOutstanding() {
     return meanOutstanding;
   }
--- a/front/src/main/java/org/magnoliaswitch/front/load/SharedRetryBudget.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/SharedRetryBudget.java
@@ -3,24 +3,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * This instance's share of a service's budget for further sends.
+ * This instance's share of a service's budget for further attempts.
  *
- * <p>Over all instances together, sends beyond the first of each request must stay under a ratio of
- * the requests plus a slack in any window. Each instance keeps to the ratio of its own requests in
- * the last window and to an even share of the slack, so uneven traffic cannot break the sum.
+ * <p>Over all instances together, attempts beyond the first of each request must stay below a ratio
+ * of the requests plus a slack in any window. Each instance applies the ratio to its own requests
+ * in the last window and takes an equal share of the slack, so uneven traffic cannot exceed the
+ * sum.
  *
- * <p>A share is seldom a whole number. Rounded down everywhere, much of the budget would be lost
- * where there are many instances; each rounds at a point of its own instead, so that the sum over
- * many is what is allowed.
+ * <p>A share is rarely an integer. If all instances rounded down, much of the budget of a large
+ * deployment would be lost; instead each instance rounds at its own threshold, so that the sum over
+ * many instances matches the allowed number.
  */
 public final class SharedRetryBudget {
   private static final int BUCKETS = 20;
 
   /**
-   * Part that callers may use who could come back instead. The rest suffices for those who cannot
-   * while every second request is rejected.
+   * Part of the budget available to callers that could retry by themselves. The rest suffices for
+   * those that cannot while every second request is rejected.
    */
-  private static final double RETURNING_SHARE = 0.4;
+  private static final double RETRYING_CALLER_SHARE = 0.4;
 
   private final Limits limits;
   private final double roundUpFrom;
@@ -30,20 +31,23 @@
   private long currentBucket = Long.MIN_VALUE;
 
   /**
-   * The rule the sum over all instances must keep.
+   * The limits that the sum over all instances must keep.
    *
-   * @param ratio further sends per request
-   * @param slack further sends allowed besides, over all instances
-   * @param windowNanos the span over which both count
+   * @param ratio further attempts per request
+   * @param slack further attempts allowed on top of it, over all instances
+   * @param windowNanos the window in which both are counted
    */
   public record Limits(double ratio, double slack, long windowNanos) {
-    /** Own margin below the ratio: what is in flight while a window slides. */
+    /** Safety margin below the ratio for requests in flight while the window slides. */
     private static final double RATIO_SHARE = 0.8;
 
-    /** A restarted instance has forgotten what it spent: the slack must last for both lives. */
+    /**
+     * A restarted instance does not remember its spending: the slack must suffice for both
+     * lifetimes.
+     */
     private static final double SLACK_SHARE = 0.5;
 
-    /** In force when a deployment names none. */
+    /** Limits of a deployment that configures none. */
     public static final Limits DEFAULT = new Limits(0.1, 0, TimeUnit.SECONDS.toNanos(10));
 
     double allowed(int requests, int instances) {
@@ -54,7 +58,7 @@
   /**
    * Creates an unused budget.
    *
-   * @param rounding where this instance rounds its share up, drawn evenly from 0 to 1
+   * @param rounding threshold at which this instance rounds up, uniformly distributed from 0 to 1
    */
   public SharedRetryBudget(Limits limits, double rounding) {
     this.limits = limits;
@@ -64,18 +68,19 @@
 
   /** Counts a request of a caller. */
   public void recordRequest(long nowNanos) {
-    requests[roll(nowNanos)]++;
+    requests[advance(nowNanos)]++;
   }
 
-  /** Takes one further send if the budget has room for it. */
-  public boolean trySpend(CallerRetry fallback, int instances, long nowNanos) {
-    int bucket = roll(nowNanos);
-    double all = limits.allowed(sum(requests), instances);
+  /** Takes one further attempt from the budget if it is not exhausted. */
+  public boolean trySpend(CallerRetry callerRetry, int instances, long nowNanos) {
+    int bucket = advance(nowNanos);
+    double fullBudget = limits.allowed(sum(requests), instances);
     double allowed =
-        switch (fallback) {
-          // One is free for anybody: a single rejection on a calm day must not cost a caller a try.
-          case EXPECTED -> Math.max(RETURNING_SHARE * all, Math.min(1, all));
-          case NONE -> all;
+        switch (callerRetry) {
+          // One further attempt is available to every caller: a single rejection under normal load
+          // must not cost a caller a try.
+          case EXPECTED -> Math.max(RETRYING_CALLER_SHARE * fullBudget, Math.min(1, fullBudget));
+          case NONE -> fullBudget;
         };
     if (sum(retries) + roundUpFrom > allowed) {
       return false;
@@ -84,13 +89,13 @@
     return true;
   }
 
-  private int roll(long nowNanos) {
+  private int advance(long nowNanos) {
     long bucket = Math.floorDiv(nowNanos, bucketNanos);
-    long passed = currentBucket == Long.MIN_VALUE ? BUCKETS : bucket - currentBucket;
-    for (long i = 0; i < Math.min(BUCKETS, passed); i++) {
-      int cleared = Math.floorMod(bucket - i, BUCKETS);
-      requests[cleared] = 0;
-      retries[cleared] = 0;
+    long elapsed = currentBucket == Long.MIN_VALUE ? BUCKETS : bucket - currentBucket;
+    for (long i = 0; i < Math.min(BUCKETS, elapsed); i++) {
+      int index = Math.floorMod(bucket - i, BUCKETS);
+      requests[index] = 0;
+      retries[index] = 0;
     }
     currentBucket = bucket;
     return Math.floorMod(bucket, BUCKETS);
--- a/front/src/main/java/org/magnoliaswitch/front/load/Timeliness.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/Timeliness.java
@@ -1,13 +1,13 @@
 package org.magnoliaswitch.front.load;
 
-/** Whether a request can still be answered within its objective. */
+/** Whether a request can still be answered within its latency objective. */
 public enum Timeliness {
-  /** It can. */
+  /** The request can be answered within its objective. */
   IN_TIME,
 
   /**
-   * It cannot, mostly because its caller was refused before and came back. A late answer keeps a
-   * tenth of its value; it goes where it takes nothing from those that can be in time.
+   * The request is past its objective, usually because its caller was refused before and retried. A
+   * late answer keeps a tenth of its value; the request must not take capacity from timely ones.
    */
   LATE
 }
--- a/front/src/main/java/org/magnoliaswitch/front/load/TokenBucket.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/TokenBucket.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** A token bucket; used by one thread only. */
+/** A token bucket. Not thread-safe. */
 public final class TokenBucket {
   private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
@@ -13,7 +13,7 @@
   /**
    * Creates a full bucket.
    *
-   * @param burst most tokens that are kept
+   * @param burst capacity in tokens
    */
   public TokenBucket(double burst, long nowNanos) {
     this.burst = burst;
@@ -22,9 +22,9 @@
   }
 
   /**
-   * Takes a token if there is one.
+   * Takes a token if one is available.
    *
-   * @param perSecond tokens that come back each second
+   * @param perSecond refill rate in tokens per second
    */
   public boolean tryTake(double perSecond, long nowNanos) {
     double refilled = perSecond * (nowNanos - lastNanos) / NANOS_PER_SECOND;
--- a/front/src/main/java/org/magnoliaswitch/front/load/WeightedServicePicker.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/WeightedServicePicker.java
@@ -4,11 +4,11 @@
 import org.magnoliaswitch.front.version.WeightedService;
 
 /**
- * Divides a route's requests among its services by their weights.
+ * Distributes a route's requests among its services by weight.
  *
- * <p>Successive positions follow the golden ratio, so any few dozen requests come close to the
- * weights; a random start keeps many instances that each see few requests from all beginning with
- * the same part, which would shift the sum over them.
+ * <p>Successive positions advance by the golden ratio, so that any few dozen requests approximate
+ * the weights. A random start prevents many instances with few requests each from all starting with
+ * the same service, which would skew the overall distribution.
  */
 public final class WeightedServicePicker {
   private static final double GOLDEN_STEP = 0.6180339887498949;
@@ -19,17 +19,17 @@
     this.position = start;
   }
 
-  /** The service of the next request. */
-  public String next(List<WeightedService> parts) {
+  /** Returns the service of the next request. */
+  public String next(List<WeightedService> services) {
     position = (position + GOLDEN_STEP) % 1.0;
-    double total = parts.stream().mapToDouble(WeightedService::weight).sum();
-    double rest = position * total;
-    for (WeightedService part : parts) {
-      rest -= part.weight();
-      if (rest < 0) {
-        return part.service();
+    double total = services.stream().mapToDouble(WeightedService::weight).sum();
+    double remaining = position * total;
+    for (WeightedService weighted : services) {
+      remaining -= weighted.weight();
+      if (remaining < 0) {
+        return weighted.service();
       }
     }
-    return parts.getLast().service();
+    return services.getLast().service();
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/load/package-info.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Decisions under load, free of input and output: placement, refusal, budgets. Time is passed in.
+ * Decisions under load: placement, refusal and budgets. The package performs no I/O, and time is
+ * passed in as a parameter.
  */
 @NullMarked
 package org.magnoliaswitch.front.load;
--- a/front/src/test/java/org/magnoliaswitch/front/load/AdmissionLimitTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/AdmissionLimitTest.java
@@ -7,19 +7,19 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Whether a server should get one more request. */
+/** Tests whether a server may receive one more request. */
 public final class AdmissionLimitTest {
   private static final long NOW = TimeUnit.SECONDS.toNanos(50);
 
-  private static ServiceLoad service(int meanHeld) {
+  private static ServiceLoad service(int meanOutstanding) {
     ServiceLoad load = new ServiceLoad();
     for (int i = 0; i < 200; i++) {
-      load.recordSample(new LoadSample(meanHeld, 0, Servers.SLOTS, 1));
+      load.recordSample(new LoadSample(meanOutstanding, 0, Servers.SLOTS, 1));
     }
     return load;
   }
 
-  private static boolean hasRoom(
+  private static boolean hasCapacity(
       ServerState server, ServiceLoad service, Timeliness timeliness, long nowNanos) {
     return AdmissionLimit.hasCapacity(server, Servers.context(timeliness, service, nowNanos));
   }
@@ -36,45 +36,45 @@
     };
   }
 
-  /** Six slots: in-time requests fill four of them, late ones three. */
+  /** With six slots, timely requests fill four of them and late requests three. */
   @Test(dataProvider = "loads")
-  public void slotsAreFilledToTheKneeAndLateRequestsLeaveOneMore(
-      int running, Timeliness timeliness, boolean room) {
+  public void slotsAreFilledUpToTheKneeAndLateRequestsLeaveOneMoreFree(
+      int running, Timeliness timeliness, boolean capacity) {
     ServerState server = Servers.told("a", running, 1, NOW);
-    assertEquals(hasRoom(server, service(running), timeliness, NOW), room);
+    assertEquals(hasCapacity(server, service(running), timeliness, NOW), capacity);
   }
 
   /**
-   * The server was idle when it was last heard of, a second ago, and since then the service has
-   * filled up. Taking the old news for true would send it one request from each instance at once.
+   * Guards against trusting an old sample. The server was idle in its last sample, a second ago,
+   * and the service has become busy since; every instance would send it a request at once.
    */
   @Test
-  public void oldNewsOfAnIdleServerDoNotCountOnABusyDay() {
+  public void anOldSampleOfAnIdleServerIsIgnoredUnderHighLoad() {
     ServerState server = Servers.told("a", 0, 1, NOW);
     long later = NOW + TimeUnit.SECONDS.toNanos(1);
-    assertEquals(hasRoom(server, service(5), Timeliness.IN_TIME, later), false);
-    assertEquals(hasRoom(server, service(1), Timeliness.IN_TIME, later), true);
+    assertEquals(hasCapacity(server, service(5), Timeliness.IN_TIME, later), false);
+    assertEquals(hasCapacity(server, service(1), Timeliness.IN_TIME, later), true);
   }
 
   /**
-   * All instances were killed and are back; their pools are empty and nobody knows a load. Every
-   * caller returns in the same second. Each instance may have one request at a server until the
-   * server has told its load; without the bound all slots and queues fill at once.
+   * Guards against filling all slots and queues after a restart of all instances. Their connection
+   * pools are empty, no load is known, and all callers retry in the same second. Each instance may
+   * have one request at a server until the server has reported its load.
    */
   @Test
-  public void aServerNotHeardOfYetGetsOneRequestAtATime() {
+  public void aServerWithoutASampleGetsOneRequestAtATime() {
     ServerState server = new ServerState(Servers.entry("a", false), NOW);
-    assertEquals(hasRoom(server, service(0), Timeliness.IN_TIME, NOW), true);
+    assertEquals(hasCapacity(server, service(0), Timeliness.IN_TIME, NOW), true);
     server.requestStarted();
-    assertEquals(hasRoom(server, service(0), Timeliness.IN_TIME, NOW), false);
+    assertEquals(hasCapacity(server, service(0), Timeliness.IN_TIME, NOW), false);
   }
 
   @Test
-  public void aServiceThatTellsNoLoadAlwaysHasRoom() {
+  public void aServiceThatReportsNoLoadAlwaysHasCapacity() {
     ServerState server = new ServerState(Servers.entry("a", false), NOW);
     server.requestStarted();
     ServiceLoad silent = new ServiceLoad();
     silent.markNotReporting();
-    assertEquals(hasRoom(server, silent, Timeliness.LATE, NOW), true);
+    assertEquals(hasCapacity(server, silent, Timeliness.LATE, NOW), true);
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/load/BackpressureTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/BackpressureTest.java
@@ -7,24 +7,24 @@
 import java.util.OptionalDouble;
 import org.testng.annotations.Test;
 
-/** What a server asks of its callers, as its answers come in. */
+/** Tests the backpressure that a server signals in its answers. */
 public final class BackpressureTest {
   private static final ServerNotice LIMITED = new ServerNotice(false, OptionalDouble.of(4.6), 0);
 
-  /** Limits of requests a second. */
+  /** Limits of requests per second. */
   public static final class Limit {
-    private static final OptionalDouble FREE = OptionalDouble.empty();
+    private static final OptionalDouble NO_LIMIT = OptionalDouble.empty();
 
     @Test
-    public void holdsUntilAnAnswerToALaterRequestNamesNone() {
+    public void appliesUntilAnAnswerToALaterRequestOmitsIt() {
       Backpressure server = new Backpressure();
       server.recordAnswer(LIMITED, 0, 100);
       assertEquals(server.requestsPerSecond(), LIMITED.requestsPerSecond());
       server.recordAnswer(ServerNotice.NONE, 101, 200);
-      assertEquals(server.requestsPerSecond(), FREE);
+      assertEquals(server.requestsPerSecond(), NO_LIMIT);
     }
 
-    /** Guards against a limit that is dropped because an older answer arrived after a newer one. */
+    /** Guards against lifting a limit because an older answer arrived after a newer one. */
     @Test
     public void anAnswerToAnEarlierRequestDoesNotLiftIt() {
       Backpressure server = new Backpressure();
@@ -33,9 +33,12 @@
       assertEquals(server.requestsPerSecond(), LIMITED.requestsPerSecond());
     }
 
-    /** Guards against servers whose health checks and refusals say nothing of their limit. */
+    /**
+     * Guards against lifting the limit of servers whose health checks and rejections do not contain
+     * it.
+     */
     @Test
-    public void aHealthCheckOrRefusalNamesItButDoesNotLiftIt() {
+    public void aHealthCheckOrRejectionSetsButDoesNotLiftIt() {
       Backpressure server = new Backpressure();
       server.recordNotice(LIMITED, 100);
       assertEquals(server.requestsPerSecond(), LIMITED.requestsPerSecond());
@@ -44,7 +47,7 @@
     }
 
     @Test
-    public void allowsNoChecksUntilItIsLifted() {
+    public void allowsNoProbesUntilItIsLifted() {
       Backpressure server = new Backpressure();
       assertTrue(server.allowsProbes(0));
       server.recordAnswer(LIMITED, 0, 100);
@@ -54,7 +57,7 @@
     }
 
     @Test
-    public void knowsWhenItWasLastNamed() {
+    public void tracksWhenItWasLastReceived() {
       Backpressure server = new Backpressure();
       server.recordAnswer(LIMITED, 0, 100);
       server.recordAnswer(LIMITED, 110, 200);
--- a/front/src/test/java/org/magnoliaswitch/front/load/ColdShareTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/ColdShareTest.java
@@ -14,37 +14,40 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What all instances together send to a server that is cold. */
+/** Tests the rate at which all instances together send requests to a cold server. */
 public final class ColdShareTest {
   private static final Warmup WARMUP = new Warmup(TimeUnit.SECONDS.toNanos(3), 2.6);
   private static final ColdShare.Bounds BOUNDS = new ColdShare.Bounds(1.5, 8);
 
-  /** What a cold server bears in any second, with all of the slack. */
-  private static final double MOST_PER_SECOND = 2.6 * 1.5 + 8;
+  /** Requests that a cold server can sustain in any second, including all of the slack. */
+  private static final double MAX_PER_SECOND = 2.6 * 1.5 + 8;
 
   private static final int SERVERS = 200;
 
-  private static final Optional<InstanceIndex> NOWHERE = Optional.empty();
+  private static final Optional<InstanceIndex> NO_INDEX = Optional.empty();
 
-  private static int sharesOf(String server, int instances, int believed) {
+  private static int sumOfShares(String server, int instances, int knownInstances) {
     int sum = 0;
     for (int i = 0; i < instances; i++) {
       sum +=
-          ColdShare.of(WARMUP, BOUNDS, new SenderSelection("front-" + i, server, believed, NOWHERE))
+          ColdShare.of(
+                  WARMUP,
+                  BOUNDS,
+                  new SenderSelection("front-" + i, server, knownInstances, NO_INDEX))
               .maxPerSecond();
     }
     return sum;
   }
 
-  private static List<Integer> sums(int instances, int believed) {
+  private static List<Integer> sums(int instances, int knownInstances) {
     List<Integer> sums = new ArrayList<>();
     for (int i = 0; i < SERVERS; i++) {
-      sums.add(sharesOf("i-" + i + "@0", instances, believed));
+      sums.add(sumOfShares("i-" + i + "@0", instances, knownInstances));
     }
     return sums;
   }
 
-  private static int most(List<Integer> sums) {
+  private static int max(List<Integer> sums) {
     return sums.stream().mapToInt(Integer::intValue).max().orElse(0);
   }
 
@@ -54,23 +57,26 @@
   }
 
   /**
-   * A data centre's servers come back cold in a burst, and every instance has requests for them.
-   * Callers must not find servers that end under the load of all: the shares add up to no more than
-   * a server bears, whatever the number of instances.
+   * Guards against overloading cold servers. The servers of a data centre restart cold in a burst,
+   * and every instance has requests for them; the shares must add up to no more than a server can
+   * sustain, whatever the number of instances.
    */
   @Test(dataProvider = "sizes")
-  public void sharesOfAllInstancesAddUpToNoMoreThanIsBorne(int instances) {
-    assertTrue(most(sums(instances, instances)) <= MOST_PER_SECOND);
+  public void sharesOfAllInstancesStayWithinTheLimit(int instances) {
+    assertTrue(max(sums(instances, instances)) <= MAX_PER_SECOND);
   }
 
-  /** A restart of the seeds hides every fifth instance for a moment; still no server ends of it. */
+  /**
+   * Guards against overload by a wrong instance count: a restart of the seeds hides every fifth
+   * instance for a moment.
+   */
   @Test(dataProvider = "sizes")
-  public void aWrongCountIsBorne(int instances) {
-    int believed = Math.max(1, (int) (0.8 * instances));
-    assertTrue(most(sums(instances, believed)) <= MOST_PER_SECOND);
+  public void sharesWithAWrongInstanceCountStayWithinTheLimit(int instances) {
+    int knownInstances = Math.max(1, (int) (0.8 * instances));
+    assertTrue(max(sums(instances, knownInstances)) <= MAX_PER_SECOND);
   }
 
-  /** Servers that have just come get something: a cold server without a sender is lost capacity. */
+  /** A cold server without a sender is lost capacity. */
   @Test(dataProvider = "sizes")
   public void mostColdServersHaveASender(int instances) {
     long without = sums(instances, instances).stream().filter(sum -> sum == 0).count();
@@ -80,117 +86,122 @@
   @Test
   public void aServiceThatDeclaresNothingIsNotLimited() {
     ColdShare share =
-        ColdShare.of(Warmup.UNLIMITED, BOUNDS, new SenderSelection("a", "i@0", 100, NOWHERE));
+        ColdShare.of(Warmup.UNLIMITED, BOUNDS, new SenderSelection("a", "i@0", 100, NO_INDEX));
     assertEquals(share.maxPerSecond(), Integer.MAX_VALUE);
   }
 
-  /** Instances that have a place from a seed. */
-  public static final class Placed {
+  /** Instances that have an index from a seed. */
+  public static final class Indexed {
     private static final int INSTANCES = 97;
 
-    private static int share(String server, int place, int places) {
-      Optional<InstanceIndex> known = Optional.of(new InstanceIndex(place, places));
-      return ColdShare.of(WARMUP, BOUNDS, new SenderSelection("front", server, places, known))
+    private static int share(String server, int index, int count) {
+      Optional<InstanceIndex> instanceIndex = Optional.of(new InstanceIndex(index, count));
+      return ColdShare.of(
+              WARMUP, BOUNDS, new SenderSelection("front", server, count, instanceIndex))
           .maxPerSecond();
     }
 
-    /** What the instances send whose places a list names, in a second. */
-    private static int sum(String server, List<Integer> places) {
-      return places.stream().mapToInt(place -> share(server, place, INSTANCES)).sum();
+    /** Requests per second of the instances with the given indexes. */
+    private static int sum(String server, List<Integer> indexes) {
+      return indexes.stream().mapToInt(index -> share(server, index, INSTANCES)).sum();
     }
 
     private static List<Integer> shuffled(long seed) {
-      List<Integer> places = new ArrayList<>();
+      List<Integer> indexes = new ArrayList<>();
       for (int i = 0; i < INSTANCES; i++) {
-        places.add(i);
+        indexes.add(i);
       }
-      Collections.shuffle(places, new Random(seed));
-      return places;
+      Collections.shuffle(indexes, new Random(seed));
+      return indexes;
     }
 
     /**
-     * A data centre comes back cold in a burst. Drawn by their names, a server had three senders on
-     * average and some had none, and callers were refused beside servers that would have borne
-     * twice as many.
+     * Guards against unused cold servers after the restart of a data centre. With senders selected
+     * by name, a server has three senders on average and some servers have none, so callers are
+     * refused although servers could sustain twice as many requests.
      */
     @Test
-    public void eachColdServerHasAsManySendersAsItBears() {
+    public void eachColdServerHasTheMaximumNumberOfSenders() {
       for (int i = 0; i < SERVERS; i++) {
         assertEquals(sum("i-" + i + "@0", shuffled(0)), 5);
       }
     }
 
     /**
-     * The first seed ends, and instances turn to the next one, one after the other. Some have their
-     * places from the one and some from the other; together they must not send a cold server more
-     * than it bears.
+     * Guards against too many senders during a failover. The first seed crashes, and instances
+     * switch to the next seed one after the other. Some have their indexes from the first seed and
+     * some from the second; together they must not exceed what a cold server can sustain.
      */
     @Test
-    public void placesOfTwoSeedsTogetherSendNoMoreThanIsBorne() {
+    public void indexesOfTwoSeedsTogetherStayWithinTheLimit() {
       List<Integer> first = shuffled(1);
       List<Integer> second = shuffled(2);
       for (int i = 0; i < SERVERS; i++) {
         String server = "i-" + i + "@0";
-        for (int turned = 0; turned <= INSTANCES; turned += 8) {
+        for (int switched = 0; switched <= INSTANCES; switched += 8) {
           int all =
-              sum(server, first.subList(turned, INSTANCES))
-                  + sum(server, second.subList(0, turned));
-          assertTrue(all <= MOST_PER_SECOND, server + " got " + all);
+              sum(server, first.subList(switched, INSTANCES))
+                  + sum(server, second.subList(0, switched));
+          assertTrue(all <= MAX_PER_SECOND, server + " got " + all);
         }
       }
     }
 
-    /** Two thirds of them have no place yet, since they have just started. */
+    /** Two thirds of the instances have no index yet, because they have just started. */
     @Test
-    public void withOthersThatAreDrawnByNameTheBoundHolds() {
+    public void indexedAndUnindexedInstancesTogetherStayWithinTheLimit() {
       for (int i = 0; i < SERVERS; i++) {
         String server = "i-" + i + "@0";
-        int named = 0;
+        int selectedByName = 0;
         for (int k = 0; k < 2 * INSTANCES / 3; k++) {
-          named +=
+          selectedByName +=
               ColdShare.of(
-                      WARMUP, BOUNDS, new SenderSelection("front-" + k, server, INSTANCES, NOWHERE))
+                      WARMUP,
+                      BOUNDS,
+                      new SenderSelection("front-" + k, server, INSTANCES, NO_INDEX))
                   .maxPerSecond();
         }
-        int all = named + sum(server, shuffled(3).subList(0, INSTANCES / 3));
-        assertTrue(all <= MOST_PER_SECOND, server + " got " + all);
+        int all = selectedByName + sum(server, shuffled(3).subList(0, INSTANCES / 3));
+        assertTrue(all <= MAX_PER_SECOND, server + " got " + all);
       }
     }
 
-    /** A service that bears one request a second while cold is not left without a sender. */
+    /** A service that sustains one request per second while cold must have a sender. */
     @Test
-    public void aServerThatBearsOneRequestASecondHasASender() {
+    public void aServerWithALimitOfOneRequestPerSecondHasASender() {
       Warmup one = new Warmup(TimeUnit.SECONDS.toNanos(3), 1);
       int senders = 0;
-      for (int place = 0; place < INSTANCES; place++) {
-        Optional<InstanceIndex> known = Optional.of(new InstanceIndex(place, INSTANCES));
+      for (int index = 0; index < INSTANCES; index++) {
+        Optional<InstanceIndex> instanceIndex = Optional.of(new InstanceIndex(index, INSTANCES));
         senders +=
             ColdShare.of(
-                    one, ColdShare.Bounds.NONE, new SenderSelection("a", "i@0", INSTANCES, known))
+                    one,
+                    ColdShare.Bounds.NONE,
+                    new SenderSelection("a", "i@0", INSTANCES, instanceIndex))
                 .maxPerSecond();
       }
       assertEquals(senders, 1);
     }
   }
 
-  /** Two ways to keep a limit that nobody can ask the others about. */
-  public static final class Ways {
+  /** Compares two strategies that keep a limit without coordination between instances. */
+  public static final class Strategies {
     private static final int INSTANCES = 100;
     private static final int SEEDS = 20;
     private static final long STEP_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
     private static final long SPAN_NANOS = TimeUnit.SECONDS.toNanos(3);
 
-    /** Each instance holds a bucket that fills at an even part of the limit. */
-    private static final class Buckets implements Bursts.Way {
+    /** Each instance has a token bucket that refills at an equal share of the limit. */
+    private static final class TokenBuckets implements Bursts.Way {
       private final List<TokenBucket> buckets = new ArrayList<>();
       private final double perSecond;
 
-      Buckets(Random random) {
-        perSecond = MOST_PER_SECOND / INSTANCES;
+      TokenBuckets(Random random) {
+        perSecond = MAX_PER_SECOND / INSTANCES;
         for (int i = 0; i < INSTANCES; i++) {
           TokenBucket bucket = new TokenBucket(1, 0);
           bucket.tryTake(0, 0);
-          // As much as if it had begun to fill at any moment before.
+          // Sets the fill level as if the bucket had begun to refill at a random earlier moment.
           bucket.tryTake(random.nextDouble(), TimeUnit.SECONDS.toNanos(1));
           buckets.add(bucket);
         }
@@ -202,12 +213,12 @@
       }
     }
 
-    /** Few instances are drawn. */
-    private static final class Drawn implements Bursts.Way {
+    /** Few instances are selected as senders. */
+    private static final class SelectedSenders implements Bursts.Way {
       private final List<SendWindow> windows = new ArrayList<>();
       private final String server;
 
-      Drawn(Random random) {
+      SelectedSenders(Random random) {
         server = "i-" + random.nextInt();
         for (int i = 0; i < INSTANCES; i++) {
           windows.add(new SendWindow(TimeUnit.SECONDS.toNanos(1)));
@@ -220,9 +231,9 @@
             ColdShare.of(
                 WARMUP,
                 BOUNDS,
-                new SenderSelection("front-" + instance, server, INSTANCES, NOWHERE));
+                new SenderSelection("front-" + instance, server, INSTANCES, NO_INDEX));
         SendWindow window = windows.get(instance);
-        if (window.size(TimeUnit.SECONDS.toNanos(1), nowNanos) >= share.maxPerSecond()) {
+        if (window.count(TimeUnit.SECONDS.toNanos(1), nowNanos) >= share.maxPerSecond()) {
           return false;
         }
         window.add(nowNanos);
@@ -230,29 +241,29 @@
       }
     }
 
-    private static long worst(Bursts.Way way) {
-      List<Long> sends = Bursts.play(way, INSTANCES, 0, SPAN_NANOS, STEP_NANOS);
+    private static long worst(Bursts.Way strategy) {
+      List<Long> sends = Bursts.play(strategy, INSTANCES, 0, SPAN_NANOS, STEP_NANOS);
       return Bursts.mostInSpan(sends, TimeUnit.SECONDS.toNanos(1));
     }
 
     /**
-     * A server comes back cold in a burst and all instances have requests for it at once. With a
-     * bucket each the sum stays near the limit on average but goes beyond it in some second; with
-     * drawn senders it stays below, and the server lives.
+     * A server restarts cold in a burst, and all instances have requests for it at once. With a
+     * token bucket per instance, the sum is near the limit on average but exceeds it in some
+     * second; with selected senders it stays below, and the server does not crash.
      */
     @Test
-    public void drawnSendersKeepTheLimitInEverySecond() {
+    public void selectedSendersKeepTheLimitInEverySecond() {
       long worstBuckets = 0;
-      long worstDrawn = 0;
+      long worstSelected = 0;
       for (int seed = 0; seed < SEEDS; seed++) {
-        worstBuckets = Math.max(worstBuckets, worst(new Buckets(new Random(seed))));
-        worstDrawn = Math.max(worstDrawn, worst(new Drawn(new Random(seed))));
+        worstBuckets = Math.max(worstBuckets, worst(new TokenBuckets(new Random(seed))));
+        worstSelected = Math.max(worstSelected, worst(new SelectedSenders(new Random(seed))));
       }
-      assertTrue(worstBuckets > MOST_PER_SECOND, "buckets " + worstBuckets);
-      assertTrue(worstDrawn <= MOST_PER_SECOND, "drawn " + worstDrawn);
+      assertTrue(worstBuckets > MAX_PER_SECOND, "buckets " + worstBuckets);
+      assertTrue(worstSelected <= MAX_PER_SECOND, "selected senders " + worstSelected);
       System.out.printf(
           "cold-share: most_in_a_second buckets=%d drawn=%d limit=%.1f%n",
-          worstBuckets, worstDrawn, MOST_PER_SECOND);
+          worstBuckets, worstSelected, MAX_PER_SECOND);
     }
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/load/HedgeDelayTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/HedgeDelayTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** When an answer counts as overdue. */
+/** Tests when an unanswered request is hedged. */
 public final class HedgeDelayTest {
   private static long millis(double usual, long left) {
     long nanos = HedgeDelay.nanos(usual * 1e6, TimeUnit.MILLISECONDS.toNanos(left));
@@ -26,13 +26,16 @@
   }
 
   @Test(dataProvider = "cases")
-  public void itLeavesRoomForASecondAnswerWhereThereIsAny(double usual, long left, long expected) {
+  public void leavesTimeForASecondAnswerIfPossible(double usual, long left, long expected) {
     assertEquals(millis(usual, left), expected);
   }
 
-  /** A hedge before the usual latency would double the load of a day on which nothing is wrong. */
+  /**
+   * Guards against hedging before the usual latency, which would double the load when nothing is
+   * wrong.
+   */
   @Test
-  public void itIsNeverBeforeMostAnswersAreIn() {
+  public void neverHedgesBeforeMostAnswersHaveArrived() {
     for (long left = -500; left < 2_000; left += 10) {
       assertTrue(millis(100, left) >= 130);
     }
--- a/front/src/test/java/org/magnoliaswitch/front/load/InstanceIndexTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/InstanceIndexTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Draws among instances that do not ask each other. */
+/** Tests the selection of instances that do not coordinate. */
 public final class InstanceIndexTest {
   private static Set<Integer> selected(String name, int selectedCount, int count) {
     return IntStream.range(0, count)
@@ -26,20 +26,23 @@
   }
 
   @Test(dataProvider = "sizes")
-  public void exactlyAsManyAreDrawnAsAskedFor(int places) {
+  public void selectsExactlyTheRequestedNumber(int count) {
     for (int server = 0; server < 50; server++) {
-      assertEquals(selected("i-" + server + "@0", 5, places).size(), 5);
+      assertEquals(selected("i-" + server + "@0", 5, count).size(), 5);
     }
   }
 
   @Test
-  public void whereThereAreFewerAllAreDrawn() {
+  public void selectsAllInstancesIfThereAreFewer() {
     assertEquals(selected("i-1@0", 5, 3), Set.of(0, 1, 2));
   }
 
-  /** Somebody joins; those who have not heard of it must not draw others than those who have. */
+  /**
+   * When an instance joins, instances that do not know of it yet must select nearly the same set as
+   * the others.
+   */
   @Test
-  public void onePlaceMoreChangesADrawByOneAtMost() {
+  public void oneMoreIndexChangesASelectionByOneAtMost() {
     for (int server = 0; server < 200; server++) {
       Set<Integer> both = new HashSet<>(selected("i-" + server + "@0", 5, 97));
       both.addAll(selected("i-" + server + "@0", 5, 98));
@@ -48,7 +51,7 @@
   }
 
   @Test
-  public void aPlaceLiesAmongThePlaces() {
+  public void anIndexOutOfRangeIsRejected() {
     assertThrows(IllegalArgumentException.class, () -> new InstanceIndex(3, 3));
     assertThrows(IllegalArgumentException.class, () -> new InstanceIndex(-1, 3));
   }
--- a/front/src/test/java/org/magnoliaswitch/front/load/LoadReplayTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/LoadReplayTest.java
@@ -13,8 +13,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Replays loads on the decisions alone, in virtual time with fixed seeds: eighteen instances that
- * do not see each other, nineteen servers with neighbours.
+ * Replays load on the placement decisions alone, in virtual time with fixed seeds: eighteen
+ * instances that do not see each other's requests, and nineteen servers with noisy neighbours.
  */
 public final class LoadReplayTest {
   private static final int INSTANCES = 18;
@@ -23,26 +23,26 @@
   private static final double OBJECTIVE_MILLIS = 300;
   private static final double STEP_MILLIS = 2;
   private static final double LENGTH_MILLIS = 20_000;
-  private static final int ASKED = 3;
+  private static final int PROBED_SERVERS = 3;
 
-  /** Which part of the decision is in force. */
+  /** The part of the decision that is in force. */
   private enum Decision {
-    /** Any server, in turn. */
+    /** Round robin. */
     TURN,
-    /** The best by what is known; nobody is asked and nothing is refused. */
+    /** The best server by its last sample, without probes or refusals. */
     KNOWN,
-    /** The best three are asked first. */
+    /** The best three servers are probed first. */
     ASKED,
-    /** As before, and only where there is room. */
+    /** The best three servers are probed first, and only servers with capacity are used. */
     ROOM
   }
 
   /**
-   * What became of the requests.
+   * Counts of a replay.
    *
-   * @param offered requests that came
-   * @param inTime answered within the objective
-   * @param answered answered at all
+   * @param offered requests sent by callers
+   * @param inTime requests answered within the objective
+   * @param answered requests answered at all
    */
   private record Result(int offered, int inTime, int answered) {
     double inTimeShare() {
@@ -50,7 +50,7 @@
     }
   }
 
-  /** One replay. */
+  /** A single replay. */
   private static final class Replay {
     private final Random random = new Random(11);
     private final Decision decision;
@@ -134,8 +134,8 @@
       List<Ranked> ranked = rank(instance, now);
       if (decision != Decision.KNOWN) {
         ranked.stream()
-            .limit(ASKED)
-            .forEach(asked -> sample(instance, own.indexOf(asked.server()), now));
+            .limit(PROBED_SERVERS)
+            .forEach(probed -> sample(instance, own.indexOf(probed.server()), now));
         ranked = rank(instance, now);
       }
       if (decision != Decision.ROOM) {
@@ -175,26 +175,27 @@
   }
 
   /**
-   * A calm day with noisy neighbours. Reports are too old to tell who is slow now; asking the best
-   * three before the send must bring more answers in time than going by what is known, or in turn.
+   * Normal load with noisy neighbours. Samples are too old to show which servers are slow now;
+   * probing the best three servers before sending must give more timely answers than using the last
+   * samples or round robin.
    */
   @Test
-  public void askingFirstBringsMoreAnswersInTimeBesideNoisyNeighbours() {
-    double turn = replay(Decision.TURN, 120).inTimeShare();
-    double known = replay(Decision.KNOWN, 120).inTimeShare();
-    double room = replay(Decision.ROOM, 120).inTimeShare();
-    assertTrue(room > known + 0.02, known + " to " + room);
-    assertTrue(room > turn + 0.1, turn + " to " + room);
+  public void probingFirstGivesMoreTimelyAnswersWithNoisyNeighbours() {
+    double roundRobin = replay(Decision.TURN, 120).inTimeShare();
+    double unprobed = replay(Decision.KNOWN, 120).inTimeShare();
+    double limited = replay(Decision.ROOM, 120).inTimeShare();
+    assertTrue(limited > unprobed + 0.02, unprobed + " to " + limited);
+    assertTrue(limited > roundRobin + 0.1, roundRobin + " to " + limited);
   }
 
   /**
-   * Twice the requests that the servers can run. Without a bound every queue fills, all slots are
-   * above the knee, and hardly an answer is in time although the servers work without pause.
+   * Twice the requests that the servers can execute. Without a limit every queue fills, all servers
+   * are above the knee, and hardly any answer is in time although the servers are never idle.
    */
   @Test
   public void keepingServersBelowTheirKneeServesMoreInTimeUnderOverload() {
-    double asked = replay(Decision.ASKED, 480).inTimeShare();
-    double room = replay(Decision.ROOM, 480).inTimeShare();
-    assertTrue(room > 1.5 * asked, asked + " to " + room);
+    double unlimited = replay(Decision.ASKED, 480).inTimeShare();
+    double limited = replay(Decision.ROOM, 480).inTimeShare();
+    assertTrue(limited > 1.5 * unlimited, unlimited + " to " + limited);
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/load/LoadSampleTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/LoadSampleTest.java
@@ -6,7 +6,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Load reports as servers write them. */
+/** Tests the parser of the load reports of servers. */
 public final class LoadSampleTest {
   @DataProvider
   public Object[][] reports() {
@@ -25,7 +25,7 @@
   }
 
   @Test(dataProvider = "reports")
-  public void reportsAreReadOrLeftOut(String text, Optional<LoadSample> expected) {
+  public void parsesValidReportsOnly(String text, Optional<LoadSample> expected) {
     assertEquals(LoadSample.parse(text), expected);
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/load/PlacementTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/PlacementTest.java
@@ -12,7 +12,7 @@
 import org.magnoliaswitch.front.version.ServerEntry;
 import org.testng.annotations.Test;
 
-/** Which server a request goes to. */
+/** Tests the ranking of servers for a request. */
 public final class PlacementTest {
   private static final long NOW = TimeUnit.SECONDS.toNanos(100);
   private static final long EXPECTED = TimeUnit.MILLISECONDS.toNanos(120);
@@ -20,7 +20,7 @@
 
   private final RandomGenerator random = new java.util.Random(7);
 
-  /** A service whose servers hold one request on average. */
+  /** A service whose servers have one outstanding request on average. */
   private static ServiceLoad service() {
     ServiceLoad load = new ServiceLoad();
     for (int i = 0; i < 200; i++) {
@@ -38,30 +38,31 @@
     return Placement.rank(servers, context, random).getFirst().server().entry().id();
   }
 
-  /** What load samples say of the moment. */
+  /** Effects of load samples. */
   public static final class Samples {
     private final PlacementTest outer = new PlacementTest();
 
     @Test
-    public void aServerThatIsSlowAtTheMomentIsPassedBy() {
+    public void aCurrentlySlowServerIsAvoided() {
       ServerState slow = Servers.told("slow", 0, 4, NOW);
       ServerState busy = Servers.told("busy", 3, 1, NOW);
       assertEquals(outer.best(List.of(slow, busy), NOW), "busy");
     }
 
     @Test
-    public void aServerAboveItsKneeIsPassedBy() {
+    public void aServerAboveItsKneeIsAvoided() {
       ServerState full = Servers.told("full", 6, 1, NOW);
       ServerState free = Servers.told("free", 3, 1, NOW);
       assertEquals(outer.best(List.of(full, free), NOW), "free");
     }
 
     /**
-     * A sample of a slow moment is old news after a second: neighbours come and go within a few
-     * hundred milliseconds, and a server avoided for longer would be lost for nothing.
+     * Guards against avoiding a server for longer than it is slow. Noisy neighbours come and go
+     * within a few hundred milliseconds, so a sample of a slow moment must have no weight after two
+     * seconds.
      */
     @Test
-    public void anOldSampleOfASlowMomentFades() {
+    public void anOldSampleOfASlowServerLosesItsWeight() {
       ServerState once = Servers.told("once-slow", 0, 4, NOW);
       long later = NOW + TimeUnit.SECONDS.toNanos(2);
       PlacementContext context = context(later);
@@ -70,16 +71,16 @@
     }
   }
 
-  /** What this instance's own requests met. */
+  /** Effects of the outcomes of this instance's own requests. */
   public static final class OwnRequests {
     private final PlacementTest outer = new PlacementTest();
 
     /**
-     * A server fails half its requests while its health check is good. Its answers come fast, so it
-     * looks idle; without the memory of failures it would draw ever more requests.
+     * Guards against attracting requests by failing fast. The server fails half of its requests
+     * while its health check succeeds; its answers are fast, so it appears idle.
      */
     @Test
-    public void aServerThatFailsHalfIsPassedBy() {
+    public void aServerThatFailsHalfOfItsRequestsIsAvoided() {
       ServerState grey = Servers.told("grey", 0, 1, NOW);
       ServerState busy = Servers.told("busy", 4, 1, NOW);
       for (int i = 0; i < 5; i++) {
@@ -99,7 +100,7 @@
     }
 
     @Test
-    public void whenAllFailOneIsStillChosen() {
+    public void aServerIsChosenEvenIfAllFail() {
       List<ServerState> servers = new ArrayList<>();
       for (int i = 0; i < 4; i++) {
         ServerState server = Servers.told("s" + i, 0, 1, NOW);
@@ -112,11 +113,11 @@
     }
 
     /**
-     * A server is several times slower than its load tells. Only the latencies of own answers show
-     * it, and it must lose against one whose report is no better.
+     * Guards against preferring a server that is several times slower than its load samples show.
+     * Only the latencies of own answers reveal it.
      */
     @Test
-    public void aServerWithLongLatenciesIsPassedBy() {
+    public void aServerWithLongLatenciesIsAvoided() {
       ServerState slow = Servers.told("slow", 0, 1, NOW);
       ServerState usual = Servers.told("usual", 2, 1, NOW);
       for (int i = 0; i < 6; i++) {
@@ -127,8 +128,8 @@
     }
   }
 
-  /** Whether a request starts on a server at all. */
-  public static final class Starts {
+  /** Whether a request may start on a server at all. */
+  public static final class Starting {
     private static PlacementContext allowed(double usualMillis, long allowedMillis) {
       return Servers.context(
           usualMillis * 1e6,
@@ -139,18 +140,19 @@
     }
 
     @Test
-    public void notWhereAnAnswerWouldBeLateBecauseOfTheMoment() {
+    public void isDeniedOnACurrentlySlowServer() {
       ServerState slow = Servers.told("slow", 0, 5, NOW);
       assertFalse(Placement.expectedInTime(slow, allowed(160, 400)));
       assertTrue(Placement.expectedInTime(slow, allowed(160, 800)));
     }
 
     /**
-     * The only server of a service was slow for some answers and is well again. If its own past
-     * kept requests away, no answer could ever show it, and callers were refused for seconds.
+     * Guards against refusing callers for seconds after the only server of a service was slow and
+     * has recovered: if its own slow answers kept requests away, no answer could prove the
+     * recovery.
      */
     @Test
-    public void alsoWhereOwnAnswersWereSlowLately() {
+    public void isAllowedWhereOwnAnswersWereSlow() {
       ServerState recovered = Servers.told("only", 0, 1, NOW);
       for (int i = 0; i < 10; i++) {
         recovered.recordSuccess(20, NOW);
@@ -159,17 +161,17 @@
     }
 
     /**
-     * The usual latency was learnt while all servers hung and is longer than callers wait. Without
-     * requests it would never be learnt anew.
+     * Guards against a usual latency that is never updated: it was learnt while all servers hung
+     * and is longer than callers wait, and only further requests can correct it.
      */
     @Test
-    public void alsoWhereNothingSeemsToBeInTime() {
+    public void isAllowedIfTheUsualLatencyExceedsTheAllowedTime() {
       assertTrue(Placement.expectedInTime(Servers.told("a", 0, 1, NOW), allowed(3_000, 1_200)));
     }
   }
 
-  /** Where servers are. */
-  public static final class Places {
+  /** Effects of the servers' data centres. */
+  public static final class DataCentres {
     private final PlacementTest outer = new PlacementTest();
 
     private ServerState remote(int running, double slowness) {
@@ -181,15 +183,15 @@
     }
 
     @Test
-    public void theNearOneIsTakenWhenBothAreGood() {
-      ServerState near = Servers.told("near", 1, 1, NOW);
-      assertEquals(outer.best(List.of(remote(1, 1), near), NOW), "near");
+    public void theLocalServerIsPreferredIfBothAreGood() {
+      ServerState local = Servers.told("near", 1, 1, NOW);
+      assertEquals(outer.best(List.of(remote(1, 1), local), NOW), "near");
     }
 
     @Test
-    public void theFarOneIsTakenWhenTheNearOneIsSlow() {
-      ServerState near = Servers.told("near", 1, 4, NOW);
-      assertEquals(outer.best(List.of(remote(1, 1), near), NOW), "remote");
+    public void theRemoteServerIsPreferredIfTheLocalOneIsSlow() {
+      ServerState local = Servers.told("near", 1, 4, NOW);
+      assertEquals(outer.best(List.of(remote(1, 1), local), NOW), "remote");
     }
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/load/RateLimitShareTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/RateLimitShareTest.java
@@ -12,31 +12,41 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What all instances together send to a server that limits the requests a second it takes. */
+/**
+ * Tests the rate at which all instances together send requests to a server that limits its requests
+ * per second.
+ */
 public final class RateLimitShareTest {
   private static final int SERVERS = 100;
-  private static final double SPAN_SECONDS = 4;
+  private static final double WINDOW_SECONDS = 4;
 
-  /** What a server bears in a span beyond its word. */
-  private static double borne(double perSecond) {
-    return 1.5 * perSecond * SPAN_SECONDS + 5;
+  /** Requests that a server tolerates in a window beyond its declared limit. */
+  private static double tolerated(double perSecond) {
+    return 1.5 * perSecond * WINDOW_SECONDS + 5;
   }
 
-  private static SenderSelection draw(int instance, String server, int believed, boolean placed) {
-    Optional<InstanceIndex> place =
-        placed ? Optional.of(new InstanceIndex(instance, believed)) : Optional.empty();
-    return new SenderSelection("front-" + instance, server, believed, place);
+  private static SenderSelection selection(
+      int instance, String server, int knownInstances, boolean indexed) {
+    Optional<InstanceIndex> instanceIndex =
+        indexed ? Optional.of(new InstanceIndex(instance, knownInstances)) : Optional.empty();
+    return new SenderSelection("front-" + instance, server, knownInstances, instanceIndex);
   }
 
-  /** Shares of the instances whose part of the servers holds this one. */
+  /** Sum of the shares of the instances whose subset contains the server. */
   private static int sum(
-      String server, int instances, int believed, double part, boolean placed, double perSecond) {
+      String server,
+      int instances,
+      int knownInstances,
+      double subsetShare,
+      boolean indexed,
+      double perSecond) {
     int sum = 0;
     Random random = new Random(server.hashCode());
     for (int i = 0; i < instances; i++) {
-      if (random.nextDouble() < part) {
-        SenderSelection draw = draw(i, server, believed, placed && i < believed);
-        sum += RateLimitShare.of(perSecond, draw, part).maxPerWindow();
+      if (random.nextDouble() < subsetShare) {
+        SenderSelection selection =
+            selection(i, server, knownInstances, indexed && i < knownInstances);
+        sum += RateLimitShare.of(perSecond, selection, subsetShare).maxPerWindow();
       }
     }
     return sum;
@@ -47,35 +57,39 @@
     List<Object[]> rows = new ArrayList<>();
     for (int instances : List.of(2, 3, 5, 13, 17, 18, 97, 150, 300, 1500)) {
       for (double perSecond : List.of(0.0, 0.3, 1.0, 4.6, 8.4, 40.0)) {
-        double part = Math.min(1, 13.0 / instances);
-        rows.add(new Object[] {instances, perSecond, part, true});
-        rows.add(new Object[] {instances, perSecond, part, false});
+        double subsetShare = Math.min(1, 13.0 / instances);
+        rows.add(new Object[] {instances, perSecond, subsetShare, true});
+        rows.add(new Object[] {instances, perSecond, subsetShare, false});
       }
     }
     return rows.toArray(Object[][]::new);
   }
 
-  /** Guards against shares that add up to more than an overloaded server bears. */
+  /** Guards against shares that add up to more than an overloaded server tolerates. */
   @Test(dataProvider = "sizes")
-  public void sharesAddUpToNoMoreThanIsBorne(
-      int instances, double perSecond, double part, boolean placed) {
+  public void sharesStayWithinTheLimit(
+      int instances, double perSecond, double subsetShare, boolean indexed) {
     for (int i = 0; i < SERVERS; i++) {
-      int sum = sum("i-" + i + "@0", instances, instances, part, placed, perSecond);
-      assertTrue(sum <= borne(perSecond), sum + " sent");
+      int sum = sum("i-" + i + "@0", instances, instances, subsetShare, indexed, perSecond);
+      assertTrue(sum <= tolerated(perSecond), sum + " sent");
     }
   }
 
-  /** Guards against a restart of the seeds, which hides every fifth instance for a moment. */
+  /**
+   * Guards against overload by a wrong instance count: a restart of the seeds hides every fifth
+   * instance for a moment.
+   */
   @Test(dataProvider = "sizes")
-  public void aWrongCountIsBorne(int instances, double perSecond, double part, boolean placed) {
-    int believed = Math.max(1, (int) (0.8 * instances));
+  public void sharesWithAWrongInstanceCountStayWithinTheLimit(
+      int instances, double perSecond, double subsetShare, boolean indexed) {
+    int knownInstances = Math.max(1, (int) (0.8 * instances));
     for (int i = 0; i < SERVERS; i++) {
-      int sum = sum("i-" + i + "@0", instances, believed, part, placed, perSecond);
-      assertTrue(sum <= borne(perSecond), sum + " sent");
+      int sum = sum("i-" + i + "@0", instances, knownInstances, subsetShare, indexed, perSecond);
+      assertTrue(sum <= tolerated(perSecond), sum + " sent");
     }
   }
 
-  /** Guards against a limit that is kept by sending next to nothing while callers are refused. */
+  /** Guards against keeping the limit by sending almost nothing while callers are refused. */
   @Test
   public void mostOfTheLimitIsUsed() {
     for (double perSecond : List.of(1.0, 4.6, 8.4)) {
@@ -83,32 +97,32 @@
       for (int i = 0; i < SERVERS; i++) {
         sent += sum("i-" + i + "@0", 17, 17, 1, true, perSecond);
       }
-      assertTrue(sent >= 0.6 * perSecond * SPAN_SECONDS * SERVERS, perSecond + ": " + sent);
+      assertTrue(sent >= 0.6 * perSecond * WINDOW_SECONDS * SERVERS, perSecond + ": " + sent);
     }
   }
 
   @Test
-  public void aServerThatTakesNothingGetsNothing() {
-    assertEquals(RateLimitShare.of(0, draw(0, "i@0", 17, true), 1).maxPerWindow(), 0);
+  public void aLimitOfZeroAllowsNoRequests() {
+    assertEquals(RateLimitShare.of(0, selection(0, "i@0", 17, true), 1).maxPerWindow(), 0);
   }
 
-  /** Two ways to keep a limit that nobody can ask the others about. */
-  public static final class Ways {
+  /** Compares two strategies that keep a limit without coordination between instances. */
+  public static final class Strategies {
     private static final int SEEDS = 20;
     private static final long STEP_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
-    private static final long PLAYED_NANOS = TimeUnit.SECONDS.toNanos(20);
+    private static final long SIMULATED_NANOS = TimeUnit.SECONDS.toNanos(20);
 
-    /** Calm before callers come, in which a bucket fills. */
-    private static final long CALM_NANOS = TimeUnit.SECONDS.toNanos(60);
+    /** Idle time before the requests, in which a token bucket refills. */
+    private static final long IDLE_NANOS = TimeUnit.SECONDS.toNanos(60);
 
-    /** Each instance holds a bucket of one request that fills at an even part of the limit. */
-    private record Buckets(List<TokenBucket> buckets, double perSecond) implements Bursts.Way {
-      static Buckets of(int instances, double perSecond) {
+    /** Each instance has a bucket of one token that refills at an equal share of the limit. */
+    private record TokenBuckets(List<TokenBucket> buckets, double perSecond) implements Bursts.Way {
+      static TokenBuckets of(int instances, double perSecond) {
         List<TokenBucket> buckets = new ArrayList<>();
         for (int i = 0; i < instances; i++) {
           buckets.add(new TokenBucket(1, 0));
         }
-        return new Buckets(buckets, perSecond / instances);
+        return new TokenBuckets(buckets, perSecond / instances);
       }
 
       @Override
@@ -117,24 +131,24 @@
       }
     }
 
-    /** Each instance has its share of each span. */
-    private record Shares(List<SendWindow> windows, List<RateLimitShare> shares)
+    /** Each instance has its share of each window. */
+    private record WindowShares(List<SendWindow> windows, List<RateLimitShare> shares)
         implements Bursts.Way {
-      static Shares of(int instances, double perSecond, String server) {
+      static WindowShares of(int instances, double perSecond, String server) {
         List<SendWindow> windows = new ArrayList<>();
         List<RateLimitShare> shares = new ArrayList<>();
         for (int i = 0; i < instances; i++) {
           windows.add(new SendWindow(RateLimitShare.WINDOW_NANOS));
-          shares.add(RateLimitShare.of(perSecond, draw(i, server, instances, true), 1));
+          shares.add(RateLimitShare.of(perSecond, selection(i, server, instances, true), 1));
         }
-        return new Shares(windows, shares);
+        return new WindowShares(windows, shares);
       }
 
       @Override
       public boolean send(int instance, long nowNanos) {
         SendWindow window = windows.get(instance);
-        int most = shares.get(instance).maxPerWindow();
-        if (window.size(RateLimitShare.WINDOW_NANOS, nowNanos) >= most) {
+        int limit = shares.get(instance).maxPerWindow();
+        if (window.count(RateLimitShare.WINDOW_NANOS, nowNanos) >= limit) {
           return false;
         }
         window.add(nowNanos);
@@ -142,11 +156,11 @@
       }
     }
 
-    private static List<Long> play(Bursts.Way way, int instances) {
-      return Bursts.play(way, instances, CALM_NANOS, PLAYED_NANOS, STEP_NANOS);
+    private static List<Long> simulate(Bursts.Way strategy, int instances) {
+      return Bursts.play(strategy, instances, IDLE_NANOS, SIMULATED_NANOS, STEP_NANOS);
     }
 
-    private static long mostInASpan(List<Long> sends) {
+    private static long maxInWindow(List<Long> sends) {
       return Bursts.mostInSpan(sends, RateLimitShare.WINDOW_NANOS);
     }
 
@@ -156,32 +170,33 @@
     }
 
     /**
-     * Guards against what buckets save up: after a calm time every instance sends at once, and a
-     * server that takes few requests gets more than it bears.
+     * Guards against capacity that token buckets accumulate: after an idle time every instance
+     * sends at once, and a server with a low limit receives more than it tolerates.
      */
     @Test(dataProvider = "limits")
-    public void sharesKeepTheLimitInEverySpan(int instances, double perSecond) {
+    public void sharesKeepTheLimitInEveryWindow(int instances, double perSecond) {
       long worst = 0;
       double used = 0;
       for (int seed = 0; seed < SEEDS; seed++) {
-        List<Long> sends = play(Shares.of(instances, perSecond, "i-" + seed), instances);
-        worst = Math.max(worst, mostInASpan(sends));
-        used += sends.size() / (TimeUnit.NANOSECONDS.toSeconds(PLAYED_NANOS) * perSecond * SEEDS);
+        List<Long> sends = simulate(WindowShares.of(instances, perSecond, "i-" + seed), instances);
+        worst = Math.max(worst, maxInWindow(sends));
+        used +=
+            sends.size() / (TimeUnit.NANOSECONDS.toSeconds(SIMULATED_NANOS) * perSecond * SEEDS);
       }
-      List<Long> bucketSends = play(Buckets.of(instances, perSecond), instances);
+      List<Long> bucketSends = simulate(TokenBuckets.of(instances, perSecond), instances);
       double bucketUsed =
-          bucketSends.size() / (TimeUnit.NANOSECONDS.toSeconds(PLAYED_NANOS) * perSecond);
+          bucketSends.size() / (TimeUnit.NANOSECONDS.toSeconds(SIMULATED_NANOS) * perSecond);
       System.out.printf(
           "rate-limit: instances=%d limit=%.1f borne=%.1f most_in_a_span buckets=%d shares=%d"
               + " used buckets=%.2f shares=%.2f%n",
           instances,
           perSecond,
-          borne(perSecond),
-          mostInASpan(bucketSends),
+          tolerated(perSecond),
+          maxInWindow(bucketSends),
           worst,
           bucketUsed,
           used);
-      assertTrue(worst <= borne(perSecond), "shares " + worst);
+      assertTrue(worst <= tolerated(perSecond), "shares " + worst);
     }
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/load/SenderSelectionTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/SenderSelectionTest.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
-/** Which instances send to a server that few may send to. */
+/** Tests which instances are selected as senders to a server with few allowed senders. */
 public final class SenderSelectionTest {
   private static final int INSTANCES = 100;
   private static final int SERVERS = 500;
@@ -21,32 +21,34 @@
   }
 
   @Test
-  public void placesDrawThreeQuartersOfTheSendersExactly() {
+  public void indexesSelectExactlyThreeQuartersOfTheSenders() {
     for (int server = 0; server < SERVERS; server++) {
-      int drawn = 0;
+      int selected = 0;
       for (int i = 0; i < INSTANCES; i++) {
-        drawn += indexed(i, "i-" + server).selected(8) ? 1 : 0;
+        selected += indexed(i, "i-" + server).selected(8) ? 1 : 0;
       }
-      assertEquals(drawn, 6);
+      assertEquals(selected, 6);
     }
   }
 
-  /** Guards against draws by name that let more send than may, but for one in a hundred. */
+  /**
+   * Selection by name may exceed the allowed number of senders for at most one server in a hundred.
+   */
   @Test
-  public void namesSeldomDrawMoreThanMay() {
-    int beyond = 0;
+  public void namesRarelySelectTooManySenders() {
+    int exceeded = 0;
     for (int server = 0; server < SERVERS; server++) {
-      int drawn = 0;
+      int selected = 0;
       for (int i = 0; i < INSTANCES; i++) {
-        drawn += byName(i, "i-" + server).selected(8) ? 1 : 0;
+        selected += byName(i, "i-" + server).selected(8) ? 1 : 0;
       }
-      beyond += drawn > 8 ? 1 : 0;
+      exceeded += selected > 8 ? 1 : 0;
     }
-    assertTrue(beyond <= SERVERS / 100, beyond + " servers");
+    assertTrue(exceeded <= SERVERS / 100, exceeded + " servers have too many senders");
   }
 
   @Test
-  public void whereNoneMaySendNoneIsDrawn() {
+  public void aLimitOfZeroSelectsNoSender() {
     for (int i = 0; i < INSTANCES; i++) {
       assertTrue(!indexed(i, "i-1").selected(0) && !byName(i, "i-1").selected(0));
     }
--- a/front/src/test/java/org/magnoliaswitch/front/load/ServerSelectionTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/ServerSelectionTest.java
@@ -11,50 +11,50 @@
 import org.magnoliaswitch.front.testing.Servers;
 import org.testng.annotations.Test;
 
-/** When a ranking is good enough, and whom to ask otherwise. */
+/** Tests when a ranking is reliable enough, and which servers are probed otherwise. */
 public final class ServerSelectionTest {
   private static final long NOW = TimeUnit.SECONDS.toNanos(10);
-  private static final long LONG_AGO = TimeUnit.SECONDS.toNanos(9);
+  private static final long OLD = TimeUnit.SECONDS.toNanos(9);
 
   private static final PlacementContext CONTEXT =
       Servers.context(Timeliness.IN_TIME, new ServiceLoad(), NOW);
 
-  /** More rounds than a search has. */
-  private static final int LAST_ROUND = 9;
+  /** A round number above the number of rounds in a search. */
+  private static final int ROUND_AFTER_LAST = 9;
 
-  private static ServerSelection.Step next(boolean askable, ServerState... servers) {
+  private static ServerSelection.Step next(boolean probeable, ServerState... servers) {
     List<Ranked> ranked = Stream.of(servers).map(server -> new Ranked(server, 0, true)).toList();
-    return ServerSelection.next(ranked, CONTEXT, 1, askable);
+    return ServerSelection.next(ranked, CONTEXT, 1, probeable);
   }
 
   @Test
-  public void anUndisturbedServerHeardOfJustNowIsTaken() {
+  public void anUndisturbedServerWithAFreshSampleIsChosen() {
     ServerState fresh = Servers.told("a", 1, 1, NOW);
     assertEquals(next(true, fresh), new ServerSelection.Step.Send(fresh));
   }
 
   /**
-   * The best-ranked server has just said that it is slow, and the others were heard of long ago.
-   * They may look better only because nothing is known, so they are asked, and the slow one is not
-   * again.
+   * The best-ranked server has a fresh sample that shows it is slow; the samples of the others are
+   * old and may show a better state only for that reason, so they are probed, and the slow one is
+   * not probed again.
    */
   @Test
-  public void onlyServersWithOldNewsAreAsked() {
+  public void onlyServersWithOldSamplesAreProbed() {
     ServerState slow = Servers.told("a", 1, 4, NOW);
-    ServerState old = Servers.told("b", 1, 1, LONG_AGO);
-    ServerState other = Servers.told("c", 1, 1, LONG_AGO);
+    ServerState old = Servers.told("b", 1, 1, OLD);
+    ServerState other = Servers.told("c", 1, 1, OLD);
     assertEquals(next(true, slow, old, other), new ServerSelection.Step.Probe(List.of(old, other)));
   }
 
   /**
-   * Most first choices are undisturbed and have room. Asking three servers at once before each
-   * request spent twice the health checks for the same choice.
+   * Guards against probing three servers before each request, which costs twice the health checks
+   * for the same choice: most first choices are undisturbed and have capacity.
    */
   @Test
-  public void oneServerIsAskedFirstAndMoreOnlyAfterwards() {
+  public void eachRoundProbesOneServerMore() {
     List<Ranked> ranked =
         Stream.of("a", "b", "c", "d")
-            .map(id -> new Ranked(Servers.told(id, 1, 1, LONG_AGO), 0, true))
+            .map(id -> new Ranked(Servers.told(id, 1, 1, OLD), 0, true))
             .toList();
     for (int round = 0; round < 3; round++) {
       ServerSelection.Step step = ServerSelection.next(ranked, CONTEXT, round, true);
@@ -66,23 +66,23 @@
 
   /** Guards against health checks at a server that asked for fewer requests. */
   @Test
-  public void aServerWithALimitIsTakenWithoutAsking() {
-    ServerState limited = Servers.told("a", 1, 1, LONG_AGO);
+  public void aServerWithALimitIsChosenWithoutAProbe() {
+    ServerState limited = Servers.told("a", 1, 1, OLD);
     ServerNotice notice = new ServerNotice(false, OptionalDouble.of(4.6), 0);
-    limited.backpressure().recordAnswer(notice, LONG_AGO, LONG_AGO);
+    limited.backpressure().recordAnswer(notice, OLD, OLD);
     assertEquals(next(true, limited), new ServerSelection.Step.Send(limited));
   }
 
   @Test
-  public void aSlowServerIsTakenWhenAllHaveJustSaidSo() {
+  public void aSlowServerIsChosenIfAllSamplesAreFresh() {
     ServerState slow = Servers.told("a", 1, 4, NOW);
     assertEquals(next(true, slow), new ServerSelection.Step.Send(slow));
   }
 
   /**
-   * All servers with room are slowed down by neighbours, and an answer of theirs would come too
-   * late. Started there all the same, a request was slow to its end and kept a slot that would have
-   * served five others; a neighbour is gone after a moment, so the request waits in line.
+   * All servers with capacity are slowed down by noisy neighbours, and their answers would be late.
+   * A request that starts there stays slow until it ends and occupies a slot that could serve five
+   * others; the disturbance is gone after a moment, so the request waits in the queue.
    */
   @Test
   public void aRequestDoesNotStartWhereItsAnswerWouldBeLate() {
@@ -93,38 +93,41 @@
   }
 
   @Test
-  public void afterTheLastRoundNobodyIsAsked() {
-    ServerState old = Servers.told("b", 1, 1, LONG_AGO);
+  public void noServerIsProbedIfProbesAreNotPossible() {
+    ServerState old = Servers.told("b", 1, 1, OLD);
     assertEquals(next(false, old), new ServerSelection.Step.Send(old));
   }
 
   /**
-   * Callers press, and the servers that were asked have just said that they are full. One that was
-   * not asked only looks idle from long ago; sent there, the request would wait behind others or be
-   * rejected. It waits here and asks again instead.
+   * Load is high, and the probed servers are full. A server that was not probed appears idle only
+   * because its sample is old; a request sent there would queue or be rejected. It waits at this
+   * instance and triggers further probes instead.
    */
   @Test
-  public void aServerThatWasNotAskedIsNotTakenWhenThoseAskedAreFull() {
+  public void anUnprobedServerIsNotChosenIfTheProbedOnesAreFull() {
     ServerState full = Servers.told("a", 6, 1, NOW);
-    ServerState old = Servers.told("b", 0, 1, LONG_AGO);
+    ServerState old = Servers.told("b", 0, 1, OLD);
     List<Ranked> ranked = List.of(new Ranked(full, 0, true), new Ranked(old, 1, true));
     assertTrue(
-        ServerSelection.next(ranked, CONTEXT, LAST_ROUND, true)
+        ServerSelection.next(ranked, CONTEXT, ROUND_AFTER_LAST, true)
             instanceof ServerSelection.Step.AllBusy);
   }
 
-  /** No server answered in time: a guess is better than refusing everybody. */
+  /**
+   * If no server answered the probes in time, using the best-ranked server is better than refusing
+   * all requests.
+   */
   @Test
-  public void withoutAnyAnswerTheBestGuessIsTaken() {
-    ServerState old = Servers.told("b", 0, 1, LONG_AGO);
+  public void withoutAnyAnswerTheBestRankedServerIsChosen() {
+    ServerState old = Servers.told("b", 0, 1, OLD);
     List<Ranked> ranked = List.of(new Ranked(old, 1, true));
     assertEquals(
-        ServerSelection.next(ranked, CONTEXT, LAST_ROUND, true),
+        ServerSelection.next(ranked, CONTEXT, ROUND_AFTER_LAST, true),
         new ServerSelection.Step.Send(old));
   }
 
   @Test
-  public void busyServersAndNoServersAreToldApart() {
+  public void busyAndMissingServersAreDistinguished() {
     ServerState busy = Servers.told("a", 6, 1, NOW);
     assertTrue(next(true, busy) instanceof ServerSelection.Step.AllBusy);
     assertTrue(next(true) instanceof ServerSelection.Step.NoServer);
--- a/front/src/test/java/org/magnoliaswitch/front/load/ServerSubsetTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/ServerSubsetTest.java
@@ -12,7 +12,7 @@
 import org.magnoliaswitch.front.version.ServerEntry;
 import org.testng.annotations.Test;
 
-/** Which servers of a large service an instance sends to. */
+/** Tests which servers of a large service an instance sends to. */
 public final class ServerSubsetTest {
   private static final int DATA_CENTRES = 3;
 
@@ -39,12 +39,12 @@
   }
 
   @Test
-  public void aSmallServiceIsUsedWhole() {
-    List<ServerEntry> servers = servers(ServerSubset.LEAST);
+  public void aSmallServiceIsUsedCompletely() {
+    List<ServerEntry> servers = servers(ServerSubset.MIN_SIZE);
     assertEquals(subset(servers, 1), servers);
   }
 
-  /** Few instances need no parts: what each knows of a server is young enough. */
+  /** Few instances need no subsets: their load samples of each server are recent enough. */
   @Test
   public void fewInstancesUseAllServers() {
     List<ServerEntry> servers = servers(150);
@@ -52,24 +52,27 @@
   }
 
   @Test
-  public void ofALargeServiceMostServersAreNear() {
-    List<ServerEntry> chosen = subset(servers(150), 2);
-    long near = chosen.stream().filter(server -> server.dataCentre().equals("dc-2")).count();
-    assertEquals(new HashSet<>(chosen).size(), ServerSubset.size(150, 129));
-    assertTrue(near >= Math.floor(ServerSubset.NEAR_SHARE * chosen.size()), near + " near");
+  public void mostServersOfASubsetAreLocal() {
+    List<ServerEntry> selected = subset(servers(150), 2);
+    long local = selected.stream().filter(server -> server.dataCentre().equals("dc-2")).count();
+    assertEquals(new HashSet<>(selected).size(), ServerSubset.size(150, 129));
+    assertTrue(local >= Math.floor(ServerSubset.LOCAL_SHARE * selected.size()), local + " local");
   }
 
-  /** A data centre of instances without servers of its own must still have some to send to. */
+  /** Instances in a data centre without servers must still have servers to send to. */
   @Test
-  public void aDataCentreWithoutServersUsesOthers() {
-    List<ServerEntry> far =
+  public void aDataCentreWithoutServersUsesRemoteOnes() {
+    List<ServerEntry> remote =
         servers(150).stream().filter(server -> !server.dataCentre().equals("dc-1")).toList();
-    assertEquals(subset(far, 1).size(), ServerSubset.size(far.size(), 129));
+    assertEquals(subset(remote, 1).size(), ServerSubset.size(remote.size(), 129));
   }
 
-  /** A server that leaves is replaced by one other; connections to the rest are kept. */
+  /**
+   * A server that leaves is replaced by one other; the connections to the remaining servers are
+   * kept.
+   */
   @Test
-  public void aServerThatLeavesMovesNoOther() {
+  public void aLeavingServerIsReplacedByOneOther() {
     List<ServerEntry> servers = servers(150);
     List<ServerEntry> before = subset(servers, 3);
     servers.remove(before.getFirst());
@@ -78,16 +81,16 @@
     assertEquals(after.size(), 1);
   }
 
-  /** If some servers were in nobody's part, their slots would be lost. */
+  /** The slots of a server that is in no subset would be lost. */
   @Test
-  public void everyServerIsInThePartOfSomeInstances() {
+  public void everyServerIsInSomeSubsets() {
     Map<String, Integer> instances = new HashMap<>();
     for (int instance = 0; instance < 129; instance++) {
       subset(servers(150), instance).forEach(s -> instances.merge(s.id(), 1, Integer::sum));
     }
-    int least = instances.values().stream().mapToInt(Integer::intValue).min().orElse(0);
-    int most = instances.values().stream().mapToInt(Integer::intValue).max().orElse(0);
+    int min = instances.values().stream().mapToInt(Integer::intValue).min().orElse(0);
+    int max = instances.values().stream().mapToInt(Integer::intValue).max().orElse(0);
     assertEquals(instances.size(), 150);
-    assertTrue(least >= 4 && most <= 28, least + " to " + most);
+    assertTrue(min >= 4 && max <= 28, min + " to " + max);
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/load/ServiceShapesTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/ServiceShapesTest.java
@@ -14,14 +14,15 @@
 import org.testng.annotations.Test;
 
 /**
- * Services of all shapes: one slot to sixty-four, work of five milliseconds to five seconds, one
- * server. Requests must be placed while there is room, wait no longer than they can be in time, and
- * be told to come back when something can have changed.
+ * Tests the decisions for services of very different shapes: one to sixty-four slots, work of five
+ * milliseconds to five seconds, a single server. Requests must be placed while there is capacity,
+ * wait only as long as they can be answered in time, and be told to retry when the situation can
+ * have changed.
  */
 public final class ServiceShapesTest {
   private static final long NOW = TimeUnit.SECONDS.toNanos(50);
 
-  /** Objective as a multiple of the usual latency, as users state it. */
+  /** Objective as a multiple of the usual latency. */
   private static final int OBJECTIVE_FACTOR = 3;
 
   @DataProvider
@@ -68,7 +69,9 @@
         step(server(slots, 0, OBJECTIVE_FACTOR + 1), work) instanceof ServerSelection.Step.AllBusy);
   }
 
-  /** With the last slots left free a server must still use most of those it runs well. */
+  /**
+   * Leaving the last slots free must not waste the slots that a server runs without slowing down.
+   */
   @Test(dataProvider = "shapes")
   public void atLeastHalfOfTheSlotsAreUsed(int slots, long work) {
     int running = 0;
@@ -90,10 +93,10 @@
   }
 
   /**
-   * A caller that returns long before a slot can be free, or long after, is refused for nothing.
+   * Guards against retries long before a slot can be free, which are refused again, and long after.
    */
   @Test(dataProvider = "shapes")
-  public void refusedCallersReturnWhenASlotCanBeFree(int slots, long work) {
+  public void refusedCallersRetryWhenASlotMayBeFree(int slots, long work) {
     Random random = new Random(slots);
     for (int i = 0; i < 100; i++) {
       long busy = RetryAfter.nanos(RetryAfter.Cause.BUSY, (double) work, random, Mechanisms.ALL);
--- a/front/src/test/java/org/magnoliaswitch/front/load/SharedRetryBudgetTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/SharedRetryBudgetTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The share of further sends that one instance may make. */
+/** Tests one instance's share of the budget for further attempts. */
 public final class SharedRetryBudgetTest {
   private static final long WINDOW = TimeUnit.SECONDS.toNanos(10);
   private static final SharedRetryBudget.Limits LIMITS =
@@ -22,19 +22,19 @@
   }
 
   /**
-   * Every first send fails and every budget is used to the last, on instances that see very
-   * different traffic. In no window may the sum over all of them exceed what the service allows: a
-   * retry storm would follow an outage.
+   * Guards against a retry storm after an outage. Every first attempt fails and every budget is
+   * used up, on instances with very different traffic; in no window may the sum over all instances
+   * exceed the limits of the service.
    */
   @Test(dataProvider = "instances")
-  public void theSumOverUnevenInstancesKeepsTheRule(int instances) {
+  public void theSumOverUnevenInstancesStaysWithinTheLimits(int instances) {
     RandomGenerator random = new java.util.Random(instances);
     SharedRetryBudget[] budgets = new SharedRetryBudget[instances];
     for (int i = 0; i < instances; i++) {
       budgets[i] = new SharedRetryBudget(LIMITS, random.nextDouble());
     }
     Deque<Long> requests = new ArrayDeque<>();
-    Deque<Long> repeats = new ArrayDeque<>();
+    Deque<Long> retries = new ArrayDeque<>();
     long now = 0;
     for (int step = 0; step < 20_000; step++) {
       now += random.nextLong(TimeUnit.MILLISECONDS.toNanos(4));
@@ -42,18 +42,18 @@
       budgets[instance].recordRequest(now);
       requests.addLast(now);
       if (budgets[instance].trySpend(CallerRetry.NONE, instances, now)) {
-        repeats.addLast(now);
+        retries.addLast(now);
       }
-      forget(requests, now);
-      forget(repeats, now);
+      removeExpired(requests, now);
+      removeExpired(retries, now);
       assertTrue(
-          repeats.size() <= 0.2 * requests.size() + 62,
-          repeats.size() + " repeats of " + requests.size());
+          retries.size() <= 0.2 * requests.size() + 62,
+          retries.size() + " retries of " + requests.size());
     }
   }
 
   @Test
-  public void aQuietInstanceMayRepeatAfterItsWindow() {
+  public void anInstanceMayRetryAgainAfterItsWindow() {
     SharedRetryBudget budget = new SharedRetryBudget(LIMITS, 0);
     while (budget.trySpend(CallerRetry.NONE, 17, 0)) {
       assertTrue(true);
@@ -63,27 +63,27 @@
   }
 
   /**
-   * Every second request is rejected, and those that could come back ask first. Were they given
-   * all, the ones that have come back would be refused again and leave with nothing.
+   * Every second request is rejected, and callers that could retry ask for the budget first. If
+   * they got all of it, callers that have already retried would be refused again and get no answer.
    */
   @Test
-  public void callersThatCanComeBackLeaveSomeForThoseThatCannot() {
+  public void callersThatCanRetryLeaveBudgetForThoseThatCannot() {
     SharedRetryBudget budget = new SharedRetryBudget(LIMITS, 0);
     for (int i = 0; i < 500; i++) {
       budget.recordRequest(0);
     }
     int returning = spendAll(budget, CallerRetry.EXPECTED);
     int last = spendAll(budget, CallerRetry.NONE);
-    assertTrue(returning > 20, "returning " + returning);
-    assertTrue(last > returning, "last " + last + ", returning " + returning);
+    assertTrue(returning > 20, "retrying callers " + returning);
+    assertTrue(last > returning, "last tries " + last + ", retrying callers " + returning);
   }
 
   /**
-   * An instance of many sees five requests in ten seconds, and one of them is rejected. Its budget
-   * is untouched, so the caller must not be sent back although it could return.
+   * One instance of many receives five requests in ten seconds, and one of them is rejected. Its
+   * budget is unused, so the request must get a further attempt although its caller could retry.
    */
   @Test
-  public void aSingleRejectionIsSentAgainWhoeverItsCallerIs() {
+  public void aSingleRejectionIsRetriedForAnyCaller() {
     SharedRetryBudget budget =
         new SharedRetryBudget(new SharedRetryBudget.Limits(0.2, 230, WINDOW), 0);
     for (int i = 0; i < 5; i++) {
@@ -94,11 +94,11 @@
   }
 
   /**
-   * 150 instances may make 5.5 further sends each. All rounding down, a tenth of the callers that
-   * the budget is for would be refused.
+   * 150 instances may make 5.5 further attempts each. If all of them rounded down, a tenth of the
+   * callers that the budget is meant for would be refused.
    */
   @Test
-  public void sharesThatAreNoWholeNumbersAddUp() {
+  public void fractionalSharesAddUp() {
     RandomGenerator random = new java.util.Random(3);
     int instances = 150;
     SharedRetryBudget.Limits limits = new SharedRetryBudget.Limits(0.2, 150 * 2, WINDOW);
@@ -118,15 +118,15 @@
     assertTrue(Math.abs(sum - allowed) < 0.02 * allowed, sum + " of " + allowed);
   }
 
-  private static int spendAll(SharedRetryBudget budget, CallerRetry fallback) {
+  private static int spendAll(SharedRetryBudget budget, CallerRetry callerRetry) {
     int spent = 0;
-    while (budget.trySpend(fallback, 17, 0)) {
+    while (budget.trySpend(callerRetry, 17, 0)) {
       spent++;
     }
     return spent;
   }
 
-  private static void forget(Deque<Long> times, long now) {
+  private static void removeExpired(Deque<Long> times, long now) {
     while (!times.isEmpty() && now - times.peekFirst() > WINDOW) {
       times.removeFirst();
     }
--- a/front/src/test/java/org/magnoliaswitch/front/load/WaitLimitTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/WaitLimitTest.java
@@ -5,26 +5,27 @@
 
 import org.testng.annotations.Test;
 
-/** How long requests wait for room. */
+/** Tests how long requests wait for capacity. */
 public final class WaitLimitTest {
   @Test
-  public void aRequestInTimeWaitsWhileItCanStillBeInTime() {
+  public void aTimelyRequestWaitsWhileItCanBeAnsweredInTime() {
     assertEquals(WaitLimit.nanos(Timeliness.IN_TIME, 100, 800, 100_000), 670.0);
     assertEquals(WaitLimit.nanos(Timeliness.IN_TIME, 700, 800, 100_000), 100.0);
   }
 
   /**
-   * A caller that came back late would be refused again and again; it waits for what others leave.
+   * Guards against refusing a late caller again and again; its request waits for spare capacity
+   * instead.
    */
   @Test
-  public void aLateRequestWaitsLongerThanOneInTime() {
+  public void aLateRequestWaitsLongerThanATimelyOne() {
     assertTrue(
         WaitLimit.nanos(Timeliness.LATE, 100, 300, 2_000)
             > WaitLimit.nanos(Timeliness.IN_TIME, 100, 300, 2_000));
   }
 
   @Test
-  public void aLateRequestNeverWaitsMostOfItsTime() {
+  public void aLateRequestWaitsForAFractionOfItsTimeout() {
     assertTrue(WaitLimit.nanos(Timeliness.LATE, 100, 300, 2_000) <= 500);
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/load/WeightedServicePickerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/WeightedServicePickerTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** How a route's requests are divided among its services. */
+/** Tests how a route's requests are distributed among its services. */
 public final class WeightedServicePickerTest {
   @DataProvider
   public Object[][] weights() {
@@ -16,19 +16,20 @@
   }
 
   /**
-   * Seventeen instances see eighteen requests each. If all began at the same place, the small part
-   * would get none or twice its share of the three hundred.
+   * Guards against a skewed overall distribution: seventeen instances receive eighteen requests
+   * each, about three hundred in total. If all of them started at the same position, the service
+   * with the small weight would get none or twice its share.
    */
   @Test(dataProvider = "weights")
-  public void manyInstancesWithFewRequestsKeepTheShares(int first, int second) {
+  public void manyInstancesWithFewRequestsKeepTheWeights(int first, int second) {
     RandomGenerator random = new java.util.Random(3);
-    List<WeightedService> parts =
+    List<WeightedService> services =
         List.of(new WeightedService("a", first), new WeightedService("b", second));
     int toFirst = 0;
     for (int instance = 0; instance < 17; instance++) {
       WeightedServicePicker picker = new WeightedServicePicker(random.nextDouble());
       for (int i = 0; i < 18; i++) {
-        toFirst += picker.next(parts).equals("a") ? 1 : 0;
+        toFirst += picker.next(services).equals("a") ? 1 : 0;
       }
     }
     assertEquals(toFirst / 306.0, first / (double) (first + second), 0.04);
