--- a/core/src/main/java/org/magnoliaswitch/core/crash/CrashCase.java
+++ b/core/src/main/java/org/magnoliaswitch/core/crash/CrashCase.java
@@ -9,189 +9,201 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What is known of one request under which servers ended.
+ * The evidence about one request during which servers crashed.
  *
- * <p>When a server ends, everything it was running is suspect, and most of it are bystanders. What
- * tells the cause is that it does it again: two ends make a request suspect, and a suspect is let
- * through to one server at a time. If that one ends too, the request is confirmed; any whole answer
- * clears it. Ends alone never confirm, however many: a caller that polls one path has a copy on
- * every server that goes when a data centre loses power.
+ * <p>When a server crashes, every request that it was executing is a possible cause, and most of
+ * them are bystanders. The cause is the request whose repetition crashes servers again: two crashes
+ * make a request suspect, and a suspect request is let through to one server at a time (a trial).
+ * If that server crashes too, the request is confirmed as the cause; any complete answer clears it.
+ * Crashes without a trial never confirm a request, however many there are: a caller that polls one
+ * path has a copy of its request on every server that is lost when a data centre loses power.
  *
- * @param ends incarnations that ended under it, with whether its sender was warned
- * @param cleared incarnations whose ends do not count any more
- * @param trials how often it was let through as a suspect
- * @param clearedTrials how many of these were made before an answer cleared it
- * @param changedNanos when the last end or trial became known here
+ * @param crashes incarnations that crashed while serving the request, with whether the sender knew
+ *     that it was suspect
+ * @param cleared incarnations whose crashes no longer count
+ * @param trials number of times the request was let through as a suspect
+ * @param clearedTrials number of these trials that were made before an answer cleared the request
+ * @param lastChangeNanos when this instance learnt of the last crash or trial
  */
 record CrashCase(
-    Map<String, Boolean> ends,
+    Map<String, Boolean> crashes,
     Set<String> cleared,
     int trials,
     int clearedTrials,
-    long changedNanos) {
-  /** A bystander seldom meets two ends in a row; the cause never meets anything else. */
-  static final int SUSPECT_ENDS = 2;
+    long lastChangeNanos) {
+  /**
+   * Crashes that make a request suspect. A bystander is rarely involved in two crashes in a row,
+   * whereas the cause is involved in every one.
+   */
+  static final int SUSPECT_CRASHES = 2;
 
-  /** With a trial among them, three ends are no chance any more. */
-  private static final int CONFIRMED_ENDS = 3;
+  /** Crashes that confirm a request if a trial is among them; three are no coincidence any more. */
+  private static final int CONFIRMED_CRASHES = 3;
 
   /**
-   * Ends kept of one request. More tell nothing new about it, but the ends of a confirmed one are
-   * held against no other.
+   * Maximum number of crashes kept per request. Further crashes add no evidence about the request
+   * itself, but the crashes of a confirmed request are not attributed to others.
    */
-  private static final int MAX_ENDS = 16;
+  private static final int MAX_CRASHES = 16;
 
-  /** Cleared ends kept, so that reports of them which come late change nothing. */
+  /** Maximum number of cleared crashes kept, so that late reports of them have no effect. */
   private static final int MAX_CLEARED = 16;
 
   /**
-   * Pause after a first trial that told nothing, six times as long after each further one. A trial
-   * takes a server's time of work, at most some seconds.
+   * Interval until the next trial after a first inconclusive one, multiplied by six after each
+   * further one. A trial costs a server at most some seconds of its work.
    */
-  private static final long FIRST_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(10);
+  private static final long FIRST_TRIAL_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(10);
 
   /**
-   * Time in which a trial tells something, longer than nearly all answers take. Copies of a request
-   * wait for it: while servers end for other reasons, callers that poll one path would lose tries
-   * if they were turned away.
+   * Time in which a trial is expected to give a result, longer than nearly all answers take. Copies
+   * of the request wait for it: if they were rejected, callers that poll one path would lose tries
+   * while servers crash for other reasons.
    */
-  private static final long TRIAL_NANOS = TimeUnit.SECONDS.toNanos(2);
+  private static final long TRIAL_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-  private static final int PAUSE_FACTOR = 6;
+  private static final int INTERVAL_FACTOR = 6;
 
   /**
-   * How long a confirmed request is turned away before it is let through once more. A mended
-   * release of the servers is then noticed without an operator, and an unmended one costs one
-   * server an hour.
+   * Interval at which a confirmed request is let through again. A fixed release of the servers is
+   * then noticed without an operator, and a faulty one costs one server per hour.
    */
-  private static final long CONFIRMED_PAUSE_NANOS = TimeUnit.HOURS.toNanos(1);
+  private static final long CONFIRMED_TRIAL_INTERVAL_NANOS = TimeUnit.HOURS.toNanos(1);
 
-  /** A lone end is forgotten after this time: a caller that comes back does so within seconds. */
-  private static final long FORGET_SINGLE_NANOS = TimeUnit.MINUTES.toNanos(10);
+  /** Retention of a single crash: a caller that retries does so within seconds. */
+  private static final long SINGLE_CRASH_RETENTION_NANOS = TimeUnit.MINUTES.toNanos(10);
 
-  /** Cleared cases are kept while reports of their ends may still be under way. */
-  private static final long FORGET_CLEARED_NANOS = TimeUnit.MINUTES.toNanos(1);
+  /** Retention of a cleared case, for as long as reports of its crashes may still arrive. */
+  private static final long CLEARED_RETENTION_NANOS = TimeUnit.MINUTES.toNanos(1);
 
-  /** A suspect that has not come again for a day is forgotten. */
-  private static final long FORGET_SUSPECT_NANOS = TimeUnit.DAYS.toNanos(1);
+  /** Retention of a suspect request that is not repeated: one day. */
+  private static final long SUSPECT_RETENTION_NANOS = TimeUnit.DAYS.toNanos(1);
 
   static final CrashCase NONE = new CrashCase(Map.of(), Set.of(), 0, 0, 0);
 
   CrashCase {
-    ends = Map.copyOf(ends);
+    crashes = Map.copyOf(crashes);
     cleared = Set.copyOf(cleared);
   }
 
-  /** This case with a report added; the same object when the report is not new. */
+  /**
+   * Returns this case with a report applied; the same object if the report contains nothing new.
+   */
   CrashCase with(CrashReport report, long nowNanos) {
     return switch (report) {
-      case CrashReport.Crashed ended -> withEnd(ended, nowNanos);
-      case CrashReport.Cleared gone -> without(gone);
-      case CrashReport.TrialStarted tried ->
-          tried.trialNumber() <= trials
+      case CrashReport.Crashed crash -> withCrash(crash, nowNanos);
+      case CrashReport.Cleared clearance -> withClearance(clearance);
+      case CrashReport.TrialStarted trial ->
+          trial.trialNumber() <= trials
               ? this
-              : new CrashCase(ends, cleared, tried.trialNumber(), clearedTrials, nowNanos);
+              : new CrashCase(crashes, cleared, trial.trialNumber(), clearedTrials, nowNanos);
     };
   }
 
-  private CrashCase withEnd(CrashReport.Crashed ended, long nowNanos) {
-    boolean known = ends.containsKey(ended.server());
-    boolean nothingNew = known && (ends.get(ended.server()) || !ended.warned());
-    boolean full = !known && ends.size() >= MAX_ENDS;
-    if (nothingNew || full || cleared.contains(ended.server())) {
+  private CrashCase withCrash(CrashReport.Crashed crash, long nowNanos) {
+    boolean known = crashes.containsKey(crash.server());
+    boolean nothingNew = known && (crashes.get(crash.server()) || !crash.warned());
+    boolean full = !known && crashes.size() >= MAX_CRASHES;
+    if (nothingNew || full || cleared.contains(crash.server())) {
       return this;
     }
-    Map<String, Boolean> more = new HashMap<>(ends);
-    more.merge(ended.server(), ended.warned(), Boolean::logicalOr);
-    return new CrashCase(more, cleared, trials, clearedTrials, nowNanos);
+    Map<String, Boolean> extended = new HashMap<>(crashes);
+    extended.merge(crash.server(), crash.warned(), Boolean::logicalOr);
+    return new CrashCase(extended, cleared, trials, clearedTrials, nowNanos);
   }
 
-  /** Only ends and trials that the report names are taken away: later ones count. */
-  private CrashCase without(CrashReport.Cleared report) {
-    Set<String> gone = new HashSet<>(cleared);
-    gone.addAll(report.servers());
-    int trialsGone = Math.max(clearedTrials, report.trials());
-    if (gone.size() == cleared.size() && trialsGone == clearedTrials) {
+  /** Removes only the crashes and trials that the report names, because later ones count. */
+  private CrashCase withClearance(CrashReport.Cleared report) {
+    Set<String> allCleared = new HashSet<>(cleared);
+    allCleared.addAll(report.servers());
+    int allClearedTrials = Math.max(clearedTrials, report.trials());
+    if (allCleared.size() == cleared.size() && allClearedTrials == clearedTrials) {
       return this;
     }
-    Map<String, Boolean> left = new HashMap<>(ends);
-    left.keySet().removeAll(gone);
-    Set<String> remembered = gone.size() > MAX_CLEARED ? report.servers() : gone;
-    return new CrashCase(left, remembered, trials, trialsGone, changedNanos);
+    Map<String, Boolean> remaining = new HashMap<>(crashes);
+    remaining.keySet().removeAll(allCleared);
+    Set<String> retained = allCleared.size() > MAX_CLEARED ? report.servers() : allCleared;
+    return new CrashCase(remaining, retained, trials, allClearedTrials, lastChangeNanos);
   }
 
-  /** This case without ends that another request is the cause of. */
-  CrashCase unexplained(Set<String> explained) {
-    if (ends.keySet().stream().noneMatch(explained::contains)) {
+  /** Returns this case without the crashes that were caused by another request. */
+  CrashCase withoutExplained(Set<String> explained) {
+    if (crashes.keySet().stream().noneMatch(explained::contains)) {
       return this;
     }
-    Map<String, Boolean> left = new HashMap<>(ends);
-    left.keySet().removeAll(explained);
-    return new CrashCase(left, cleared, trials, clearedTrials, changedNanos);
+    Map<String, Boolean> remaining = new HashMap<>(crashes);
+    remaining.keySet().removeAll(explained);
+    return new CrashCase(remaining, cleared, trials, clearedTrials, lastChangeNanos);
   }
 
-  /** What may be done with the request now. */
+  /** Decides how to handle the request now. */
   Verdict verdict(long nowNanos) {
-    if (ends.size() < SUSPECT_ENDS) {
+    if (crashes.size() < SUSPECT_CRASHES) {
       return Verdict.ALLOWED;
     }
-    if (pausedNanos(nowNanos) <= 0) {
+    if (nanosUntilTrial(nowNanos) <= 0) {
       return Verdict.TRIAL;
     }
-    boolean underWay = !confirmed() && nowNanos - changedNanos < TRIAL_NANOS;
-    return underWay ? Verdict.WAIT : Verdict.REFUSED;
+    boolean trialRunning = !confirmed() && nowNanos - lastChangeNanos < TRIAL_WINDOW_NANOS;
+    return trialRunning ? Verdict.WAIT : Verdict.REFUSED;
   }
 
-  /** Time until the request is let through again; zero or less when it may be. */
-  long pausedNanos(long nowNanos) {
-    return changedNanos + pauseNanos() - nowNanos;
+  /** Time until the next trial of the request is allowed; zero or less if it is allowed now. */
+  long nanosUntilTrial(long nowNanos) {
+    return lastChangeNanos + trialIntervalNanos() - nowNanos;
   }
 
-  private long pauseNanos() {
+  private long trialIntervalNanos() {
     if (confirmed()) {
-      return CONFIRMED_PAUSE_NANOS;
+      return CONFIRMED_TRIAL_INTERVAL_NANOS;
     }
-    int inVain = trials - clearedTrials;
-    double pause = (double) FIRST_PAUSE_NANOS * Math.pow(PAUSE_FACTOR, inVain - 1.0);
-    return inVain <= 0 ? 0 : Math.min(CONFIRMED_PAUSE_NANOS, (long) pause);
+    int inconclusive = trials - clearedTrials;
+    double interval =
+        (double) FIRST_TRIAL_INTERVAL_NANOS * Math.pow(INTERVAL_FACTOR, inconclusive - 1.0);
+    return inconclusive <= 0 ? 0 : Math.min(CONFIRMED_TRIAL_INTERVAL_NANOS, (long) interval);
   }
 
   /**
-   * Whether an answer would clear anything: ends, or a trial that was made beside another and whose
-   * answer comes after that one's. Left standing, it would count as one in vain for the next ends.
+   * Whether an answer would clear anything: crashes, or a trial that ran in parallel with another
+   * and is answered after it. If such a trial remained, it would count as inconclusive when further
+   * crashes occur.
    */
   boolean clearable() {
-    return !ends.isEmpty() || trials > clearedTrials;
+    return !crashes.isEmpty() || trials > clearedTrials;
   }
 
-  /** Whether so many servers ended that it is not a bystander, a warned sender's among them. */
+  /**
+   * Whether the number of crashes rules out a bystander and one of the senders knew that the
+   * request was suspect.
+   */
   boolean confirmed() {
-    return ends.size() >= CONFIRMED_ENDS && ends.containsValue(true);
+    return crashes.size() >= CONFIRMED_CRASHES && crashes.containsValue(true);
   }
 
-  /** How far the request is under suspicion. */
-  SuspicionLevel standing() {
+  /** The level of suspicion against the request. */
+  SuspicionLevel suspicionLevel() {
     if (confirmed()) {
       return SuspicionLevel.CONFIRMED;
     }
-    return ends.size() >= SUSPECT_ENDS ? SuspicionLevel.SUSPECT : SuspicionLevel.UNSUSPECTED;
+    return crashes.size() >= SUSPECT_CRASHES ? SuspicionLevel.SUSPECT : SuspicionLevel.UNSUSPECTED;
   }
 
-  /** Whether it has been quiet for so long that it is no longer kept. */
-  boolean outdated(long nowNanos) {
-    long keep =
-        switch (ends.size()) {
-          case 0 -> FORGET_CLEARED_NANOS;
-          case 1 -> FORGET_SINGLE_NANOS;
-          default -> FORGET_SUSPECT_NANOS;
+  /** Whether the case has not changed for so long that it is removed. */
+  boolean expired(long nowNanos) {
+    long retention =
+        switch (crashes.size()) {
+          case 0 -> CLEARED_RETENTION_NANOS;
+          case 1 -> SINGLE_CRASH_RETENTION_NANOS;
+          default -> SUSPECT_RETENTION_NANOS;
         };
-    return nowNanos - changedNanos > keep;
+    return nowNanos - lastChangeNanos > retention;
   }
 
-  /** Everything that is known, for somebody who knows nothing yet. */
+  /** Returns reports of everything known, for a receiver that knows nothing yet. */
   List<CrashReport> reports(RequestIdentity request) {
     List<CrashReport> reports = new ArrayList<>();
-    ends.forEach((server, warned) -> reports.add(new CrashReport.Crashed(request, server, warned)));
+    crashes.forEach(
+        (server, warned) -> reports.add(new CrashReport.Crashed(request, server, warned)));
     if (!cleared.isEmpty() || clearedTrials > 0) {
       reports.add(new CrashReport.Cleared(request, cleared, clearedTrials));
     }
--- a/core/src/main/java/org/magnoliaswitch/core/crash/CrashReport.java
+++ b/core/src/main/java/org/magnoliaswitch/core/crash/CrashReport.java
@@ -3,29 +3,31 @@
 import java.util.Set;
 
 /**
- * What one instance learns about a request under which servers end, in the form in which instances
- * tell each other. Reports may come late, twice and in any order: taken together they always mean
- * the same.
+ * An observation of one instance about a request during which servers crash, in the form exchanged
+ * between instances. Reports may arrive late, repeatedly and in any order: the resulting state is
+ * always the same.
  *
- * <p>Servers are named by their incarnations: one ends once, so an end that was cleared stays so.
+ * <p>Servers are identified by their incarnations. An incarnation crashes at most once, so a
+ * cleared crash stays cleared.
  */
 public sealed interface CrashReport {
   /** The request that the report is about. */
   RequestIdentity request();
 
   /**
-   * A server ended while it had the request.
+   * A server crashed while it served the request.
    *
    * @param server incarnation of the server
-   * @param warned whether the sender knew the request for suspect when it sent it
+   * @param warned whether the sender knew that the request was suspect when it sent it
    */
   record Crashed(RequestIdentity request, String server, boolean warned) implements CrashReport {}
 
   /**
-   * The request is not the cause of these ends: a server has answered it since, or they were none.
+   * The request did not cause these crashes: a server has answered it since, or the servers had not
+   * crashed.
    *
-   * @param servers incarnations whose ends no longer count
-   * @param trials how many trials were made before; they do not count either
+   * @param servers incarnations whose crashes no longer count
+   * @param trials number of trials made before, which no longer count either
    */
   record Cleared(RequestIdentity request, Set<String> servers, int trials) implements CrashReport {
     public Cleared {
@@ -34,9 +36,9 @@
   }
 
   /**
-   * A suspect request is let through to one server, to see whether that ends too.
+   * A suspect request is let through to one server, to see whether that server crashes too.
    *
-   * @param trialNumber how many times it has been let through, this one included
+   * @param trialNumber number of times the request has been let through, including this one
    */
   record TrialStarted(RequestIdentity request, int trialNumber) implements CrashReport {}
 }
--- a/core/src/main/java/org/magnoliaswitch/core/crash/CrashTable.java
+++ b/core/src/main/java/org/magnoliaswitch/core/crash/CrashTable.java
@@ -10,208 +10,216 @@
 import java.util.Set;
 
 /**
- * The requests under which servers ended, swapped as a whole.
+ * The requests during which servers crashed. Immutable; each update returns a new table.
  *
- * <p>Bounded: when it is full, the case with the fewest ends goes first, and of those the oldest.
- * Somebody who wants to push a real cause out must end two servers for each place.
+ * <p>The size is bounded: when the table is full, the case with the fewest crashes is evicted
+ * first, and among those the oldest. To evict a real cause, an attacker must crash two servers for
+ * each entry.
  */
 public final class CrashTable {
-  /** Cases kept; one takes about a kilobyte at most. */
+  /** Maximum number of cases; each takes about a kilobyte at most. */
   static final int MAX_CASES = 1024;
 
-  private static final Comparator<Map.Entry<RequestIdentity, CrashCase>> LEAST_WORTH_FIRST =
+  private static final Comparator<Map.Entry<RequestIdentity, CrashCase>> EVICTION_ORDER =
       Comparator.<Map.Entry<RequestIdentity, CrashCase>>comparingInt(
-              entry -> entry.getValue().ends().size())
-          .thenComparingLong(entry -> entry.getValue().changedNanos());
+              entry -> entry.getValue().crashes().size())
+          .thenComparingLong(entry -> entry.getValue().lastChangeNanos());
 
   /**
-   * The strongest first. While all ends of a request came with one caller, it is that caller's
-   * request which explains them, so that nobody has others turned away; with a second caller's end
-   * what they ask for is the stronger one. Of equals the same one is first at every instance.
+   * Orders cases by the strength of their evidence. While all crashes of a request came with one
+   * caller, the caller-specific request explains them, so that other callers are not rejected;
+   * after a crash with a second caller, the request content is the stronger explanation. Ties are
+   * broken identically on every instance.
    */
-  private static final Comparator<Map.Entry<RequestIdentity, CrashCase>> STRONGEST_FIRST =
+  private static final Comparator<Map.Entry<RequestIdentity, CrashCase>> STRONGEST_EVIDENCE_FIRST =
       Comparator.<Map.Entry<RequestIdentity, CrashCase>>comparingInt(
-              entry -> -entry.getValue().ends().size())
+              entry -> -entry.getValue().crashes().size())
           .thenComparing(entry -> !entry.getKey().callerSpecific())
           .thenComparing(entry -> entry.getKey().toString());
 
-  /** Knows of nothing. */
+  /** Table without any cases. */
   public static final CrashTable EMPTY = new CrashTable(Map.of());
 
   private final Map<RequestIdentity, CrashCase> cases;
 
-  /** The cases without the ends that a confirmed request explains. */
-  private final Map<RequestIdentity, CrashCase> judged;
+  /** The cases without the crashes that are explained by a confirmed request. */
+  private final Map<RequestIdentity, CrashCase> effectiveCases;
 
-  private final Set<String> ended;
+  private final Set<String> crashedServers;
 
   private CrashTable(Map<RequestIdentity, CrashCase> cases) {
     this.cases = cases;
-    this.judged = judged(cases);
-    this.ended = new HashSet<>();
-    cases.values().forEach(known -> ended.addAll(known.ends().keySet()));
+    this.effectiveCases = effectiveCases(cases);
+    this.crashedServers = new HashSet<>();
+    cases.values().forEach(crashCase -> crashedServers.addAll(crashCase.crashes().keySet()));
   }
 
   /**
-   * A server ends once and has one cause: what ended under a confirmed request is held against no
-   * other. Without that, a caller that polls one path is blamed with the cause when its trial goes
-   * to the same server.
+   * Attributes each crash to one cause: a crash during a confirmed request is not held against any
+   * other request. Otherwise a caller that polls one path would be blamed as well when its trial
+   * goes to the same server as the cause.
    */
-  private static Map<RequestIdentity, CrashCase> judged(Map<RequestIdentity, CrashCase> cases) {
+  private static Map<RequestIdentity, CrashCase> effectiveCases(
+      Map<RequestIdentity, CrashCase> cases) {
     List<Map.Entry<RequestIdentity, CrashCase>> confirmed =
         cases.entrySet().stream()
             .filter(entry -> entry.getValue().confirmed())
-            .sorted(STRONGEST_FIRST)
+            .sorted(STRONGEST_EVIDENCE_FIRST)
             .toList();
     if (confirmed.isEmpty()) {
       return cases;
     }
     Set<String> explained = new HashSet<>();
-    Map<RequestIdentity, CrashCase> judged = new HashMap<>();
+    Map<RequestIdentity, CrashCase> effective = new HashMap<>();
     for (Map.Entry<RequestIdentity, CrashCase> entry : confirmed) {
-      CrashCase left = entry.getValue().unexplained(explained);
-      judged.put(entry.getKey(), left);
-      if (left.confirmed()) {
-        explained.addAll(left.ends().keySet());
+      CrashCase remaining = entry.getValue().withoutExplained(explained);
+      effective.put(entry.getKey(), remaining);
+      if (remaining.confirmed()) {
+        explained.addAll(remaining.crashes().keySet());
       }
     }
     cases.forEach(
-        (request, known) -> judged.computeIfAbsent(request, key -> known.unexplained(explained)));
-    return judged;
+        (request, crashCase) ->
+            effective.computeIfAbsent(request, key -> crashCase.withoutExplained(explained)));
+    return effective;
   }
 
   /**
-   * A table with reports added.
+   * The result of an update.
    *
-   * @param table the table
-   * @param newReports those of the reports that changed it
+   * @param table the updated table
+   * @param newReports the reports that changed the table
    */
   public record Update(CrashTable table, List<CrashReport> newReports) {}
 
-  /** Adds reports. */
+  /** Returns an update with reports applied. */
   public Update with(List<CrashReport> reports, long nowNanos) {
     Map<RequestIdentity, CrashCase> next = new HashMap<>(cases);
-    List<CrashReport> news = new ArrayList<>();
+    List<CrashReport> newReports = new ArrayList<>();
     for (CrashReport report : reports) {
       CrashCase before = next.getOrDefault(report.request(), CrashCase.NONE);
       CrashCase after = before.with(report, nowNanos);
       if (!after.equals(before)) {
-        news.add(report);
+        newReports.add(report);
         next.put(report.request(), after);
-        dropLeastWorth(next);
+        evictIfFull(next);
       }
     }
-    return news.isEmpty() ? new Update(this, news) : new Update(new CrashTable(next), news);
+    return newReports.isEmpty()
+        ? new Update(this, newReports)
+        : new Update(new CrashTable(next), newReports);
   }
 
-  private static void dropLeastWorth(Map<RequestIdentity, CrashCase> cases) {
+  private static void evictIfFull(Map<RequestIdentity, CrashCase> cases) {
     if (cases.size() > MAX_CASES) {
-      cases.entrySet().stream()
-          .min(LEAST_WORTH_FIRST)
-          .map(Map.Entry::getKey)
-          .ifPresent(cases::remove);
+      cases.entrySet().stream().min(EVICTION_ORDER).map(Map.Entry::getKey).ifPresent(cases::remove);
     }
   }
 
-  /** This table without cases that have been quiet for long. */
+  /** Returns this table without expired cases. */
   public CrashTable withoutExpired(long nowNanos) {
     Map<RequestIdentity, CrashCase> kept = new HashMap<>(cases);
-    kept.values().removeIf(known -> known.outdated(nowNanos));
+    kept.values().removeIf(crashCase -> crashCase.expired(nowNanos));
     return kept.size() == cases.size() ? this : new CrashTable(kept);
   }
 
-  /** Whether nothing is known of any request. */
+  /** Whether the table has no cases. */
   public boolean isEmpty() {
     return cases.isEmpty();
   }
 
-  /** What may be done with a request now. */
+  /** Decides how to handle a request now. */
   public Verdict verdict(RequestIdentity request, long nowNanos) {
-    return judged(request).verdict(nowNanos);
+    return effectiveCase(request).verdict(nowNanos);
   }
 
-  /** How far a request is under suspicion. */
+  /** The level of suspicion against a request. */
   public SuspicionLevel suspicionLevel(RequestIdentity request) {
-    return judged(request).standing();
+    return effectiveCase(request).suspicionLevel();
   }
 
-  /** Time until a request is let through again; zero or less when it may be. */
+  /** Time until the next trial of a request is allowed; zero or less if it is allowed now. */
   public long nanosUntilTrial(RequestIdentity request, long nowNanos) {
-    return judged(request).pausedNanos(nowNanos);
+    return effectiveCase(request).nanosUntilTrial(nowNanos);
   }
 
-  /** Whether a request is confirmed to end servers. */
+  /** Whether a request is confirmed to crash servers. */
   public boolean confirmed(RequestIdentity request) {
-    return judged(request).confirmed();
+    return effectiveCase(request).confirmed();
   }
 
-  /** How often a request was let through as a suspect. */
+  /** Number of times a request was let through as a suspect. */
   public int trials(RequestIdentity request) {
-    return of(request).trials();
+    return crashCase(request).trials();
   }
 
-  /** Incarnations that ended under a request. */
+  /** Incarnations that crashed while serving a request. */
   public Set<String> serversCrashedDuring(RequestIdentity request) {
-    return judged(request).ends().keySet();
+    return effectiveCase(request).crashes().keySet();
   }
 
-  /** A report that clears a request of all that is held against it. */
+  /** Creates a report that clears a request of all crashes and trials. */
   public CrashReport clearanceFor(RequestIdentity request) {
-    return new CrashReport.Cleared(request, of(request).ends().keySet(), of(request).trials());
+    return new CrashReport.Cleared(
+        request, crashCase(request).crashes().keySet(), crashCase(request).trials());
   }
 
-  /** Whether anything is held against a request that an answer clears. */
+  /** Whether an answer would clear anything held against a request. */
   public boolean clearable(RequestIdentity request) {
-    return of(request).clearable();
+    return crashCase(request).clearable();
   }
 
-  /** An end under a request, if it counts. */
+  /** A crash while serving a request, if it has not been cleared. */
   public Optional<CrashReport.Crashed> crash(RequestIdentity request, String server) {
-    return Optional.ofNullable(of(request).ends().get(server))
+    return Optional.ofNullable(crashCase(request).crashes().get(server))
         .map(warned -> new CrashReport.Crashed(request, server, warned));
   }
 
-  /** Whether an end under a request was reported and has been cleared since. */
+  /** Whether a crash while serving a request was reported and has been cleared since. */
   public boolean cleared(RequestIdentity request, String server) {
-    return of(request).cleared().contains(server);
+    return crashCase(request).cleared().contains(server);
   }
 
-  /** Whether a server is believed to have ended. */
+  /** Whether a server is presumed to have crashed. */
   public boolean presumedCrashed(String server) {
-    return ended.contains(server);
+    return crashedServers.contains(server);
   }
 
   /**
-   * Reports that clear all ends of a server that lives, if it was believed to have ended before.
+   * Creates reports that clear the crashes of a server which turned out to be alive, if they were
+   * reported before the given time.
    */
   public List<CrashReport> clearancesForServer(String server, long reportedBeforeNanos) {
     List<CrashReport> clearances = new ArrayList<>();
     cases.forEach(
-        (request, known) -> {
-          if (known.ends().containsKey(server) && known.changedNanos() < reportedBeforeNanos) {
+        (request, crashCase) -> {
+          if (crashCase.crashes().containsKey(server)
+              && crashCase.lastChangeNanos() < reportedBeforeNanos) {
             clearances.add(new CrashReport.Cleared(request, Set.of(server), 0));
           }
         });
     return clearances;
   }
 
-  /** Everything that is known, for somebody who knows nothing yet. */
+  /** Returns reports of everything known, for a receiver that knows nothing yet. */
   public List<CrashReport> reports() {
     List<CrashReport> reports = new ArrayList<>();
-    cases.forEach((request, known) -> reports.addAll(known.reports(request)));
+    cases.forEach((request, crashCase) -> reports.addAll(crashCase.reports(request)));
     return reports;
   }
 
-  /** Requests of a standing. */
-  public long count(SuspicionLevel standing) {
-    return judged.values().stream().filter(known -> known.standing() == standing).count();
+  /** Number of requests at a level of suspicion. */
+  public long count(SuspicionLevel level) {
+    return effectiveCases.values().stream()
+        .filter(crashCase -> crashCase.suspicionLevel() == level)
+        .count();
   }
 
-  private CrashCase judged(RequestIdentity request) {
-    return judged.getOrDefault(request, CrashCase.NONE);
+  private CrashCase effectiveCase(RequestIdentity request) {
+    return effectiveCases.getOrDefault(request, CrashCase.NONE);
   }
 
-  private CrashCase of(RequestIdentity request) {
+  private CrashCase crashCase(RequestIdentity request) {
     return cases.getOrDefault(request, CrashCase.NONE);
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/crash/RequestIdentity.java
+++ b/core/src/main/java/org/magnoliaswitch/core/crash/RequestIdentity.java
@@ -8,28 +8,29 @@
 import java.util.List;
 
 /**
- * What a request is, whichever try, connection or instance brings it: the first 128 bits of a
- * SHA-256 over its parts, of which the last tells whether its caller is one of them.
+ * Identifies a request independently of the attempt, connection or instance that carries it: the
+ * first 128 bits of a SHA-256 over its parts. The last bit tells whether the caller is one of the
+ * parts.
  *
  * @param high first 64 bits
  * @param low next 64 bits
  */
 public record RequestIdentity(long high, long low) {
   /**
-   * Bytes of a body that count, besides its length. A body of many megabytes would stop all other
-   * requests for as long as it is hashed.
+   * Maximum number of body bytes that are hashed; the length of the body is always included.
+   * Hashing a body of many megabytes would block all other requests.
    */
   private static final int MAX_BODY_BYTES = 64 << 10;
 
-  private static final long CALLER_BIT = 1;
+  private static final long CALLER_SPECIFIC_BIT = 1;
   private static final int HEX_DIGITS = 32;
   private static final HexFormat HEX = HexFormat.of();
 
   /**
-   * Identifies a request by what it asks for, whoever brings it: the same request may come from
-   * several addresses, through several gateways.
+   * Identifies a request by its content, independently of its caller: the same request may come
+   * from several addresses, through several gateways.
    *
-   * @param target path and query as the caller wrote them
+   * @param target path and query as sent by the caller
    */
   public static RequestIdentity ofContent(String method, String host, String target, byte[] body) {
     MessageDigest digest = sha256();
@@ -44,34 +45,36 @@
   }
 
   /**
-   * Narrows an identity down to one caller, since servers may end under what one asks for and
-   * answer the same to others.
+   * Restricts an identity to one caller, because servers may crash on a request of one caller and
+   * answer the same request of others.
    *
-   * @param caller address of the caller without its port, which is new with each connection
+   * @param caller address of the caller without its port, which changes with each connection
    */
   public RequestIdentity forCaller(String caller) {
     MessageDigest digest = sha256();
     digest.update(ByteBuffer.allocate(2 * Long.BYTES).putLong(high).putLong(low).flip());
     digest.update(caller.getBytes(StandardCharsets.UTF_8));
-    return of(digest, CALLER_BIT);
+    return of(digest, CALLER_SPECIFIC_BIT);
   }
 
   private static RequestIdentity of(MessageDigest digest, long lastBit) {
     ByteBuffer hash = ByteBuffer.wrap(digest.digest());
-    return new RequestIdentity(hash.getLong(), (hash.getLong() & ~CALLER_BIT) | lastBit);
+    return new RequestIdentity(hash.getLong(), (hash.getLong() & ~CALLER_SPECIFIC_BIT) | lastBit);
   }
 
-  /** Whether this is a request of one caller alone. */
+  /** Whether the identity is restricted to one caller. */
   public boolean callerSpecific() {
-    return (low & CALLER_BIT) != 0;
+    return (low & CALLER_SPECIFIC_BIT) != 0;
   }
 
   /**
-   * Reads what {@link #toString} wrote; {@link IllegalArgumentException} if it is anything else.
+   * Parses the output of {@link #toString}; throws {@link IllegalArgumentException} for any other
+   * text.
    */
   public static RequestIdentity parse(String hex) {
     if (hex.length() != HEX_DIGITS) {
-      throw new IllegalArgumentException("an identity has " + HEX_DIGITS + " digits");
+      throw new IllegalArgumentException(
+          "a request identity must have " + HEX_DIGITS + " hexadecimal digits");
     }
     ByteBuffer bytes = ByteBuffer.wrap(HEX.parseHex(hex));
     return new RequestIdentity(bytes.getLong(), bytes.getLong());
--- a/core/src/main/java/org/magnoliaswitch/core/crash/SuspicionLevel.java
+++ b/core/src/main/java/org/magnoliaswitch/core/crash/SuspicionLevel.java
@@ -1,13 +1,13 @@
 package org.magnoliaswitch.core.crash;
 
-/** How far a request is believed to end the servers that run it. */
+/** The level of suspicion that a request crashes the servers that execute it. */
 public enum SuspicionLevel {
-  /** No more than a bystander meets. */
+  /** No more crashes than a bystander may be involved in. */
   UNSUSPECTED,
 
-  /** Two servers or more ended under it. */
+  /** Two or more servers crashed while serving the request. */
   SUSPECT,
 
-  /** It ended a server also when it was let through as a suspect. */
+  /** A server also crashed when the request was let through as a suspect. */
   CONFIRMED
 }
--- a/core/src/main/java/org/magnoliaswitch/core/crash/Verdict.java
+++ b/core/src/main/java/org/magnoliaswitch/core/crash/Verdict.java
@@ -1,16 +1,16 @@
 package org.magnoliaswitch.core.crash;
 
-/** What may be done with a request now. */
+/** Decision on how to handle a request. */
 public enum Verdict {
-  /** Nothing is held against it. */
+  /** Nothing is held against the request. */
   ALLOWED,
 
-  /** It is suspect, and may go to one server to show what it does. */
+  /** The request is suspect and may be sent to one server as a trial. */
   TRIAL,
 
-  /** Its trial is under way: the outcome, known in a moment, decides. */
+  /** A trial of the request is running; its outcome is known shortly and decides. */
   WAIT,
 
-  /** It is turned away. */
+  /** The request is rejected. */
   REFUSED
 }
--- a/core/src/main/java/org/magnoliaswitch/core/crash/package-info.java
+++ b/core/src/main/java/org/magnoliaswitch/core/crash/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Requests under which backend servers end: what is known of them and what follows from it; no
- * input, output or clock.
+ * Tracks requests during which backend servers crash, and decides how to handle them. The package
+ * performs no I/O and reads no clock.
  */
 @NullMarked
 package org.magnoliaswitch.core.crash;
--- a/core/src/test/java/org/magnoliaswitch/core/crash/CrashReplay.java
+++ b/core/src/test/java/org/magnoliaswitch/core/crash/CrashReplay.java
@@ -11,41 +11,44 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Instances, servers and callers in virtual time, with the decisions on requests under which
- * servers end and nothing else: no load, no waiting, a millisecond a step.
+ * Simulates instances, servers and callers in virtual time, with the decisions on requests that
+ * crash servers and nothing else: no load, no queues, a resolution of one millisecond.
  */
 final class CrashReplay {
-  /** Most servers of one try, as routes allow it. */
-  private static final int MAX_SENDS = 2;
+  /** Maximum number of servers for one exchange, as configured for routes. */
+  private static final int MAX_ATTEMPTS = 2;
 
-  /** Time from a server's end until its instance knows it, and until others hear of it. */
-  private static final long NOTICE_MILLIS = 3;
+  /**
+   * Time from a server's crash until the instance detects it, and until other instances receive the
+   * report.
+   */
+  private static final long DETECTION_MILLIS = 3;
 
-  private static final long HEARSAY_MILLIS = 14;
+  private static final long PROPAGATION_MILLIS = 14;
   private static final long RESTART_MILLIS = 3_300;
 
-  /** Time between two looks for a verdict, and how long callers have. */
-  private static final long LOOK_AGAIN_MILLIS = 12;
+  /** Interval at which a waiting request polls for a verdict, and how long callers wait. */
+  private static final long POLL_MILLIS = 12;
 
-  private static final long MOST_WAIT_MILLIS = 1_000;
+  private static final long MAX_WAIT_MILLIS = 1_000;
 
-  /** How long a caller that is told to come back much later stays away at most. */
-  private static final long MAX_STAY_AWAY_MILLIS = 300;
+  /** Maximum delay of a retry by a caller that was told to retry much later. */
+  private static final long MAX_RETRY_DELAY_MILLIS = 300;
 
   /**
-   * What is played.
+   * Parameters of a simulation.
    *
-   * @param workMillis mean time of work on a server
-   * @param deadlyCopies copies of the deadly request that its callers keep under way
-   * @param pollers callers that each keep {@code copies} of one request under way
-   * @param onePath whether all pollers ask for the same
-   * @param others other requests a second, each for itself
+   * @param workMillis mean time that a server takes for a request
+   * @param crashingCopies copies of the crashing request that its callers keep in flight
+   * @param pollers callers that each keep {@code copies} of one request in flight
+   * @param onePath whether all pollers send the same request
+   * @param others further requests per second, all different
    */
-  record Setting(
+  record Scenario(
       int instances,
       int servers,
       int workMillis,
-      int deadlyCopies,
+      int crashingCopies,
       int pollers,
       int copies,
       boolean onePath,
@@ -54,74 +57,74 @@
   /**
    * A request of a caller.
    *
-   * @param content what it asks for
+   * @param content identity of its content
    */
   private record Request(RequestIdentity content, String caller) {
     List<RequestIdentity> identities() {
       return List.of(content, content.forCaller(caller));
     }
 
-    boolean deadly() {
-      return content.equals(DEADLY);
+    boolean crashesServers() {
+      return content.equals(CRASHING);
     }
   }
 
   private record Event(long atMillis, long order, Runnable task) {}
 
-  /** A server's process; the next one is another object. */
+  /** A server process; a restarted server is another object. */
   private static final class Server {
     private final String name;
-    private final List<Run> runs = new ArrayList<>();
-    private boolean ended;
+    private final List<Attempt> attempts = new ArrayList<>();
+    private boolean crashed;
 
     Server(String name) {
       this.name = name;
     }
   }
 
-  /** One try of a request at one instance. */
-  private final class Try {
+  /** One try of a caller at one instance. */
+  private final class Exchange {
     private final Request request;
     private final List<RequestIdentity> identities;
-    private final boolean returns;
+    private final boolean retries;
     private final int instance;
-    private final Set<Server> tried = new HashSet<>();
+    private final Set<Server> triedServers = new HashSet<>();
     private long waitedMillis;
 
-    Try(Request request, boolean returns) {
+    Exchange(Request request, boolean retries) {
       this.request = request;
       this.identities = request.identities();
-      this.returns = returns;
+      this.retries = retries;
       this.instance = random.nextInt(tables.length);
     }
 
     void send() {
       Verdict verdict = verdict();
-      if (verdict == Verdict.WAIT && waitedMillis < MOST_WAIT_MILLIS) {
-        waitedMillis += LOOK_AGAIN_MILLIS;
-        after(LOOK_AGAIN_MILLIS, this::send);
+      if (verdict == Verdict.WAIT && waitedMillis < MAX_WAIT_MILLIS) {
+        waitedMillis += POLL_MILLIS;
+        schedule(POLL_MILLIS, this::send);
         return;
       }
       if (verdict == Verdict.REFUSED || verdict == Verdict.WAIT) {
-        refused(request);
-        over(MAX_STAY_AWAY_MILLIS);
+        recordRefusal(request);
+        finish(MAX_RETRY_DELAY_MILLIS);
         return;
       }
       if (verdict == Verdict.TRIAL) {
-        tried();
+        startTrial();
       }
-      List<Server> choice = servers.stream().filter(s -> !tried.contains(s)).toList();
+      List<Server> choice = servers.stream().filter(s -> !triedServers.contains(s)).toList();
       if (choice.isEmpty()) {
-        over(MAX_STAY_AWAY_MILLIS);
+        finish(MAX_RETRY_DELAY_MILLIS);
         return;
       }
       Server server = choice.get(random.nextInt(choice.size()));
-      tried.add(server);
-      sends++;
-      Run run = new Run(this, server, verdict == Verdict.TRIAL);
-      server.runs.add(run);
-      long work = 1 + (long) (setting.workMillis() * (0.5 + random.nextDouble()));
-      after(work, run::worked);
+      triedServers.add(server);
+      attempts++;
+      Attempt attempt = new Attempt(this, server, verdict == Verdict.TRIAL);
+      server.attempts.add(attempt);
+      long work = 1 + (long) (scenario.workMillis() * (0.5 + random.nextDouble()));
+      schedule(work, attempt::completed);
     }
 
     private Verdict verdict() {
@@ -131,7 +134,7 @@
           .orElseThrow();
     }
 
-    private void tried() {
+    private void startTrial() {
       for (RequestIdentity identity : identities) {
         if (tables[instance].verdict(identity, nanos()) == Verdict.TRIAL) {
           int trial = tables[instance].trials(identity) + 1;
@@ -140,68 +143,68 @@
       }
     }
 
-    private int ends() {
+    private int crashes() {
       return identities.stream()
           .mapToInt(i -> tables[instance].serversCrashedDuring(i).size())
           .max()
           .orElse(0);
     }
 
-    boolean stops(boolean warned) {
+    boolean mustCancel(boolean warned) {
       CrashTable table = tables[instance];
       boolean suspect = table.suspicionLevel(identities.getLast()) == SuspicionLevel.SUSPECT;
       return identities.stream().anyMatch(table::confirmed) || (suspect && !warned);
     }
 
-    void broke(Server server, boolean warned) {
+    void serverCrashed(Server server, boolean warned) {
       for (RequestIdentity identity : identities) {
         report(instance, new CrashReport.Crashed(identity, server.name, warned));
       }
-      if (tried.size() < MAX_SENDS && ends() < 2) {
+      if (triedServers.size() < MAX_ATTEMPTS && crashes() < 2) {
         send();
       } else {
-        over(1);
+        finish(1);
       }
     }
 
-    void over(long awayMillis) {
-      if (returns) {
-        Request again = request.deadly() ? deadly() : request;
-        after(awayMillis, () -> new Try(again, true).send());
+    void finish(long delayMillis) {
+      if (retries) {
+        Request retry = request.crashesServers() ? crashingRequest() : request;
+        schedule(delayMillis, () -> new Exchange(retry, true).send());
       }
     }
   }
 
-  /** One send that is under way. */
-  private final class Run {
-    private final Try of;
+  /** One attempt in flight at a server. */
+  private final class Attempt {
+    private final Exchange exchange;
     private final Server server;
     private final boolean warned;
 
-    Run(Try of, Server server, boolean warned) {
-      this.of = of;
+    Attempt(Exchange exchange, Server server, boolean warned) {
+      this.exchange = exchange;
       this.server = server;
       this.warned = warned;
     }
 
-    void worked() {
-      if (server.ended || !server.runs.remove(this)) {
+    void completed() {
+      if (server.crashed || !server.attempts.remove(this)) {
         return;
       }
-      if (of.request.deadly()) {
-        server.runs.add(this);
-        deadlyEnds++;
-        end(server);
+      if (exchange.request.crashesServers()) {
+        server.attempts.add(this);
+        causedCrashes++;
+        crash(server);
       } else {
-        answered(of);
-        of.over(1);
+        recordAnswer(exchange);
+        exchange.finish(1);
       }
     }
   }
 
-  static final RequestIdentity DEADLY = new RequestIdentity(0, 0);
+  static final RequestIdentity CRASHING = new RequestIdentity(0, 0);
 
-  private final Setting setting;
+  private final Scenario scenario;
   private final Random random;
   private final CrashTable[] tables;
   private final List<Server> servers = new ArrayList<>();
@@ -213,45 +216,45 @@
                   : Long.compare(a.atMillis(), b.atMillis()));
   private long nowMillis;
   private long scheduled;
-  private int named;
-  private int deadlyEnds;
-  private int sends;
-  private int innocentRefused;
-  private int innocentConfirmed;
-
-  CrashReplay(Setting setting, long seed) {
-    this.setting = setting;
+  private int namedServers;
+  private int causedCrashes;
+  private int attempts;
+  private int refusedBystanders;
+  private int confirmedBystanders;
+
+  CrashReplay(Scenario scenario, long seed) {
+    this.scenario = scenario;
     this.random = new Random(seed);
-    this.tables = new CrashTable[setting.instances()];
+    this.tables = new CrashTable[scenario.instances()];
     Arrays.fill(tables, CrashTable.EMPTY);
-    for (int i = 0; i < setting.servers(); i++) {
-      servers.add(new Server("s" + named++));
+    for (int i = 0; i < scenario.servers(); i++) {
+      servers.add(new Server("s" + namedServers++));
     }
   }
 
-  /** Lets a share of the servers end at one moment, for a reason of their own. */
-  void loseServers(long atMillis, double share) {
-    after(
+  /** Crashes a share of the servers at one moment, for a reason unrelated to requests. */
+  void crashServers(long atMillis, double share) {
+    schedule(
         atMillis,
         () ->
             List.copyOf(servers).stream()
                 .filter(s -> random.nextDouble() < share)
-                .forEach(this::end));
+                .forEach(this::crash));
   }
 
-  /** Plays for a while. */
-  void play(long millis) {
-    for (int i = 0; i < setting.deadlyCopies(); i++) {
-      after(random.nextLong(200), () -> new Try(deadly(), true).send());
+  /** Runs the simulation for a time. */
+  void simulate(long millis) {
+    for (int i = 0; i < scenario.crashingCopies(); i++) {
+      schedule(random.nextLong(200), () -> new Exchange(crashingRequest(), true).send());
     }
-    for (int i = 0; i < setting.pollers(); i++) {
-      RequestIdentity content = new RequestIdentity(1, setting.onePath() ? 0 : i);
+    for (int i = 0; i < scenario.pollers(); i++) {
+      RequestIdentity content = new RequestIdentity(1, scenario.onePath() ? 0 : i);
       Request request = new Request(content, "poller " + i);
-      for (int copy = 0; copy < setting.copies(); copy++) {
-        after(random.nextLong(200), () -> new Try(request, true).send());
+      for (int copy = 0; copy < scenario.copies(); copy++) {
+        schedule(random.nextLong(200), () -> new Exchange(request, true).send());
       }
     }
-    arrive();
+    scheduleArrivals();
     while (!events.isEmpty() && events.peek().atMillis() <= millis) {
       Event event = events.remove();
       nowMillis = event.atMillis();
@@ -259,99 +262,101 @@
     }
   }
 
-  /** Servers that ended under the deadly request. */
-  int deadlyEnds() {
-    return deadlyEnds;
+  /** Number of servers that crashed while serving the crashing request. */
+  int causedCrashes() {
+    return causedCrashes;
   }
 
-  /** Sends of all requests. */
-  int sends() {
-    return sends;
+  /** Number of attempts of all requests. */
+  int attempts() {
+    return attempts;
   }
 
-  /** Tries of other requests that were turned away. */
-  int innocentRefused() {
-    return innocentRefused;
+  /** Number of refused tries of requests that do not crash servers. */
+  int refusedBystanders() {
+    return refusedBystanders;
   }
 
-  /** Those of them whose request was confirmed, so that no trial could clear it soon. */
-  int innocentConfirmed() {
-    return innocentConfirmed;
+  /** Number of these refusals with a confirmed request, which no trial could clear soon. */
+  int confirmedBystanders() {
+    return confirmedBystanders;
   }
 
-  private void arrive() {
-    if (setting.others() > 0) {
+  private void scheduleArrivals() {
+    if (scenario.others() > 0) {
       long next = scheduled;
-      new Try(new Request(new RequestIdentity(2, next), "other"), false).send();
-      double pause = -Math.log(1 - random.nextDouble()) / setting.others();
-      after(Math.max(1, Math.round(TimeUnit.SECONDS.toMillis(1) * pause)), this::arrive);
+      new Exchange(new Request(new RequestIdentity(2, next), "other"), false).send();
+      double pause = -Math.log(1 - random.nextDouble()) / scenario.others();
+      schedule(
+          Math.max(1, Math.round(TimeUnit.SECONDS.toMillis(1) * pause)), this::scheduleArrivals);
     }
   }
 
-  private void end(Server server) {
-    if (server.ended) {
+  private void crash(Server server) {
+    if (server.crashed) {
       return;
     }
-    server.ended = true;
+    server.crashed = true;
     servers.remove(server);
-    for (Run run : List.copyOf(server.runs)) {
-      after(NOTICE_MILLIS, () -> run.of.broke(server, run.warned));
+    for (Attempt attempt : List.copyOf(server.attempts)) {
+      schedule(DETECTION_MILLIS, () -> attempt.exchange.serverCrashed(server, attempt.warned));
     }
-    after(RESTART_MILLIS, () -> servers.add(new Server("s" + named++)));
+    schedule(RESTART_MILLIS, () -> servers.add(new Server("s" + namedServers++)));
   }
 
-  /** The deadly request, from another address each time. */
-  private Request deadly() {
-    return new Request(DEADLY, "address " + random.nextInt());
+  /** Creates the crashing request with another caller address each time. */
+  private Request crashingRequest() {
+    return new Request(CRASHING, "address " + random.nextInt());
   }
 
-  private void answered(Try of) {
-    for (RequestIdentity identity : of.identities) {
-      if (tables[of.instance].clearable(identity)) {
-        report(of.instance, tables[of.instance].clearanceFor(identity));
+  private void recordAnswer(Exchange exchange) {
+    for (RequestIdentity identity : exchange.identities) {
+      if (tables[exchange.instance].clearable(identity)) {
+        report(exchange.instance, tables[exchange.instance].clearanceFor(identity));
       }
     }
   }
 
-  private void refused(Request request) {
-    if (!request.deadly()) {
-      innocentRefused++;
-      innocentConfirmed += request.identities().stream().anyMatch(tables[0]::confirmed) ? 1 : 0;
+  private void recordRefusal(Request request) {
+    if (!request.crashesServers()) {
+      refusedBystanders++;
+      confirmedBystanders += request.identities().stream().anyMatch(tables[0]::confirmed) ? 1 : 0;
     }
   }
 
   private void report(int instance, CrashReport report) {
-    learn(instance, report);
-    after(
-        HEARSAY_MILLIS,
+    apply(instance, report);
+    schedule(
+        PROPAGATION_MILLIS,
         () -> {
           for (int i = 0; i < tables.length; i++) {
-            learn(i, report);
+            apply(i, report);
           }
         });
   }
 
-  private void learn(int instance, CrashReport report) {
+  private void apply(int instance, CrashReport report) {
     tables[instance] = tables[instance].with(List.of(report), nanos()).table();
     if (tables[instance].suspicionLevel(report.request()) != SuspicionLevel.UNSUSPECTED) {
-      stopSends(instance, report.request());
+      cancelAttempts(instance, report.request());
     }
   }
 
-  /** What the instance has under way of a suspect is cancelled, but for its trial. */
-  private void stopSends(int instance, RequestIdentity request) {
+  /** Cancels the instance's attempts of a suspect request, except its trial. */
+  private void cancelAttempts(int instance, RequestIdentity request) {
     for (Server server : servers) {
-      for (Run run : List.copyOf(server.runs)) {
-        boolean same = run.of.instance == instance && run.of.identities.contains(request);
-        if (same && run.of.stops(run.warned)) {
-          server.runs.remove(run);
-          run.of.over(1);
+      for (Attempt attempt : List.copyOf(server.attempts)) {
+        boolean same =
+            attempt.exchange.instance == instance && attempt.exchange.identities.contains(request);
+        if (same && attempt.exchange.mustCancel(attempt.warned)) {
+          server.attempts.remove(attempt);
+          attempt.exchange.finish(1);
         }
       }
     }
   }
 
-  private void after(long millis, Runnable task) {
+  private void schedule(long millis, Runnable task) {
     events.add(new Event(nowMillis + millis, scheduled++, task));
   }
 
--- a/core/src/test/java/org/magnoliaswitch/core/crash/CrashReplayTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/crash/CrashReplayTest.java
@@ -6,19 +6,22 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** How many servers a deadly request ends, and what bystanders lose, at several sizes. */
+/**
+ * Tests how many servers a crashing request crashes, and how many bystanders are refused, at
+ * several sizes.
+ */
 public final class CrashReplayTest {
   private static final int SEEDS = 12;
-  private static final long PLAYED_MILLIS = 30_000;
+  private static final long SIMULATED_MILLIS = 30_000;
 
-  /** Two ends before anything is known, and the trial's. */
-  private static final int LEAST_ENDS = 3;
+  /** Two crashes before the request is suspect, and that of the trial. */
+  private static final int MIN_CRASHES = 3;
 
-  /** What the users allow a request besides, once three servers have ended. */
-  private static final int ALLOWED_AFTER = 3;
+  /** Further crashes tolerated after three servers have crashed. */
+  private static final int ALLOWED_FURTHER_CRASHES = 3;
 
-  /** Of all sends, those of requests that did nothing and may be turned away at most. */
-  private static final double MOST_REFUSED = 0.001;
+  /** Maximum share of attempts whose bystander requests may be refused. */
+  private static final double MAX_REFUSED_SHARE = 0.001;
 
   @DataProvider
   public Object[][] sizes() {
@@ -32,27 +35,28 @@
   }
 
   /**
-   * A deadly request comes back at once whenever it has failed, each time from another address at
-   * any instance, while others are served. When it becomes suspect its other copies may be on
-   * servers already, and each may end one; of those that come later one server more is risked.
+   * Guards against a request that crashes many servers. It is retried immediately whenever it has
+   * failed, each time from another address at any instance, while other requests are served. When
+   * it becomes suspect, its other copies may be on servers already, and each may crash one; among
+   * later copies, one more server is risked.
    */
   @Test(dataProvider = "sizes")
-  public void aDeadlyRequestEndsFewServers(
+  public void aCrashingRequestCrashesFewServers(
       String name, int instances, int servers, int workMillis, int copies) {
-    int most = 0;
+    int max = 0;
     for (int seed = 0; seed < SEEDS; seed++) {
       CrashReplay replay =
           new CrashReplay(
-              new CrashReplay.Setting(instances, servers, workMillis, copies, 4, 3, false, 100),
+              new CrashReplay.Scenario(instances, servers, workMillis, copies, 4, 3, false, 100),
               seed);
-      replay.play(PLAYED_MILLIS);
-      most = Math.max(most, replay.deadlyEnds());
-      assertEquals(replay.innocentConfirmed(), 0, name + ", seed " + seed);
+      replay.simulate(SIMULATED_MILLIS);
+      max = Math.max(max, replay.causedCrashes());
+      assertEquals(replay.confirmedBystanders(), 0, name + ", seed " + seed);
     }
-    System.out.println("replay: " + name + ": at most " + most + " servers ended");
-    int underWay = copies - 1;
-    int allowed = LEAST_ENDS + ALLOWED_AFTER + underWay;
-    assertTrue(most <= allowed, name + ": " + most + " servers ended");
+    System.out.println("replay: " + name + ": at most " + max + " servers crashed");
+    int otherCopies = copies - 1;
+    int allowed = MIN_CRASHES + ALLOWED_FURTHER_CRASHES + otherCopies;
+    assertTrue(max <= allowed, name + ": " + max + " servers crashed");
   }
 
   @DataProvider
@@ -85,12 +89,12 @@
   }
 
   /**
-   * Servers end in numbers for reasons of their own, while callers poll: each keeps eight copies of
-   * one request under way, and has some on many of the servers that end. None of them is to blame,
-   * and an answer, which the next copy gets, must clear it.
+   * Guards against refusing bystanders when many servers crash for unrelated reasons. Each poller
+   * keeps eight copies of one request in flight, and has some on many of the crashing servers. None
+   * of them is the cause, and an answer to the next copy must clear the request.
    */
   @Test(dataProvider = "losses")
-  public void bystandersAreServedWhenServersEndInNumbers(
+  public void bystandersAreServedWhenManyServersCrash(
       String name,
       int instances,
       int servers,
@@ -100,21 +104,21 @@
       boolean onePath,
       int seeds) {
     int refused = 0;
-    int sends = 0;
+    int attempts = 0;
     for (int seed = 0; seed < seeds; seed++) {
       CrashReplay replay =
           new CrashReplay(
-              new CrashReplay.Setting(instances, servers, workMillis, 0, 10, 8, onePath, 100),
+              new CrashReplay.Scenario(instances, servers, workMillis, 0, 10, 8, onePath, 100),
               seed);
       for (long time : times) {
-        replay.loseServers(time, share);
+        replay.crashServers(time, share);
       }
-      replay.play(PLAYED_MILLIS);
-      refused += replay.innocentRefused();
-      assertEquals(replay.innocentConfirmed(), 0, name + ", seed " + seed);
-      sends += replay.sends();
+      replay.simulate(SIMULATED_MILLIS);
+      refused += replay.refusedBystanders();
+      assertEquals(replay.confirmedBystanders(), 0, name + ", seed " + seed);
+      attempts += replay.attempts();
     }
-    System.out.println("replay: " + name + ": " + refused + " of " + sends + " turned away");
-    assertTrue(refused <= MOST_REFUSED * sends, name + ": " + refused + " of " + sends);
+    System.out.println("replay: " + name + ": " + refused + " of " + attempts + " refused");
+    assertTrue(refused <= MAX_REFUSED_SHARE * attempts, name + ": " + refused + " of " + attempts);
   }
 }
--- a/core/src/test/java/org/magnoliaswitch/core/crash/CrashTableTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/crash/CrashTableTest.java
@@ -12,13 +12,13 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** What follows from the ends of servers under requests. */
+/** Tests the conclusions from crashes of servers while they serve requests. */
 public final class CrashTableTest {
   private static final RequestIdentity REQUEST = new RequestIdentity(1, 2);
   private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
   private static final long HOUR = TimeUnit.HOURS.toNanos(1);
 
-  private static CrashReport.Crashed ended(String server) {
+  private static CrashReport.Crashed crashed(String server) {
     return new CrashReport.Crashed(REQUEST, server, false);
   }
 
@@ -26,8 +26,8 @@
     return new CrashReport.Crashed(REQUEST, server, true);
   }
 
-  private static CrashReport.TrialStarted tried(int trial) {
-    return new CrashReport.TrialStarted(REQUEST, trial);
+  private static CrashReport.TrialStarted trialStarted(int trialNumber) {
+    return new CrashReport.TrialStarted(REQUEST, trialNumber);
   }
 
   private static CrashReport.Cleared cleared(String... servers) {
@@ -38,95 +38,114 @@
     return CrashTable.EMPTY.with(List.of(reports), 0).table();
   }
 
-  /** From the first end to the verdict. */
+  /** From the first crash to the verdict. */
   public static final class Verdicts {
     /**
-     * A server ends and takes a dozen requests with it, all but one bystanders. Each may be sent to
-     * a second server, or a crash would fail a dozen callers instead of none.
+     * Guards against failing a dozen callers because of one crash. A server crashes with a dozen
+     * requests, all but one of them bystanders; each may be sent to a second server.
      */
     @Test
-    public void oneEndHoldsNothingAgainstARequest() {
-      assertEquals(after(ended("a")).verdict(REQUEST, 0), Verdict.ALLOWED);
-      assertEquals(after(ended("a"), ended("a")).verdict(REQUEST, 0), Verdict.ALLOWED);
+    public void oneCrashHoldsNothingAgainstARequest() {
+      assertEquals(after(crashed("a")).verdict(REQUEST, 0), Verdict.ALLOWED);
+      assertEquals(after(crashed("a"), crashed("a")).verdict(REQUEST, 0), Verdict.ALLOWED);
     }
 
     @Test
-    public void afterTwoEndsOneServerIsRisked() {
-      CrashTable suspect = after(ended("a"), ended("b"));
+    public void afterTwoCrashesOneServerIsRisked() {
+      CrashTable suspect = after(crashed("a"), crashed("b"));
       assertEquals(suspect.verdict(REQUEST, 0), Verdict.TRIAL);
-      CrashTable onTrial = suspect.with(List.of(tried(1)), 0).table();
-      assertEquals(onTrial.verdict(REQUEST, SECOND), Verdict.WAIT);
-      assertEquals(onTrial.verdict(REQUEST, 3 * SECOND), Verdict.REFUSED);
+      CrashTable duringTrial = suspect.with(List.of(trialStarted(1)), 0).table();
+      assertEquals(duringTrial.verdict(REQUEST, SECOND), Verdict.WAIT);
+      assertEquals(duringTrial.verdict(REQUEST, 3 * SECOND), Verdict.REFUSED);
     }
 
     @Test
-    public void aTrialThatEndsItsServerConfirms() {
-      CrashTable confirmed = after(ended("a"), ended("b"), tried(1), warned("c"));
+    public void aTrialThatCrashesItsServerConfirms() {
+      CrashTable confirmed = after(crashed("a"), crashed("b"), trialStarted(1), warned("c"));
       assertEquals(confirmed.suspicionLevel(REQUEST), SuspicionLevel.CONFIRMED);
       assertEquals(confirmed.verdict(REQUEST, HOUR - SECOND), Verdict.REFUSED);
     }
 
     /**
-     * A data centre loses power while a caller polls one path on eight of its servers at once. All
-     * eight end under the same request, which has nothing to do with it; it is tried, not refused.
+     * Guards against confirming a bystander. A data centre loses power while a caller polls one
+     * path on eight of its servers; all eight crash while serving the same request, which is not
+     * the cause. It gets a trial and is not refused.
      */
     @Test
-    public void endsOfOneMomentNeverConfirm() {
+    public void simultaneousCrashesNeverConfirm() {
       CrashTable table = CrashTable.EMPTY;
       for (int i = 0; i < 8; i++) {
-        table = table.with(List.of(ended("s" + i)), 0).table();
+        table = table.with(List.of(crashed("s" + i)), 0).table();
       }
       assertEquals(table.suspicionLevel(REQUEST), SuspicionLevel.SUSPECT);
       assertEquals(table.verdict(REQUEST, 0), Verdict.TRIAL);
     }
 
-    /** The trial's server answers: everything that was held against the request is gone. */
+    /** The server of the trial answers, which clears everything held against the request. */
     @Test
     public void anAnswerClears() {
-      CrashTable cleared = after(ended("a"), ended("b"), tried(1), cleared("a", "b"));
+      CrashTable cleared = after(crashed("a"), crashed("b"), trialStarted(1), cleared("a", "b"));
       assertEquals(cleared.suspicionLevel(REQUEST), SuspicionLevel.UNSUSPECTED);
-      CrashTable again = cleared.with(List.of(ended("c")), 0).table();
+      CrashTable again = cleared.with(List.of(crashed("c")), 0).table();
       assertEquals(again.verdict(REQUEST, 0), Verdict.ALLOWED);
     }
 
-    /** Cleared and suspect once more: it is tried at once, as if it had never been tried. */
+    /**
+     * A request that was cleared and becomes suspect again gets a trial immediately, as if it had
+     * never had one.
+     */
     @Test
-    public void whatWasClearedIsTriedAtOnceWhenItIsSuspectAgain() {
+    public void aClearedRequestIsTriedImmediatelyWhenItIsSuspectAgain() {
       CrashTable again =
-          after(ended("a"), ended("b"), tried(1), cleared("a", "b"), ended("c"), ended("d"));
+          after(
+              crashed("a"),
+              crashed("b"),
+              trialStarted(1),
+              cleared("a", "b"),
+              crashed("c"),
+              crashed("d"));
       assertEquals(again.verdict(REQUEST, 0), Verdict.TRIAL);
     }
 
-    /** A trial's caller leaves before the answer: the next one waits longer and longer. */
+    /**
+     * When the caller leaves before the trial is answered, the interval to the next trial grows.
+     */
     @Test
-    public void trialsThatTellNothingBecomeRare() {
-      CrashTable once = after(ended("a"), ended("b"), tried(1));
+    public void inconclusiveTrialsBecomeRare() {
+      CrashTable once = after(crashed("a"), crashed("b"), trialStarted(1));
       assertEquals(once.verdict(REQUEST, 9 * SECOND), Verdict.REFUSED);
       assertEquals(once.verdict(REQUEST, 11 * SECOND), Verdict.TRIAL);
-      CrashTable twice = once.with(List.of(tried(2)), 0).table();
+      CrashTable twice = once.with(List.of(trialStarted(2)), 0).table();
       assertEquals(twice.verdict(REQUEST, 59 * SECOND), Verdict.REFUSED);
       assertEquals(twice.verdict(REQUEST, 61 * SECOND), Verdict.TRIAL);
     }
 
     /**
-     * A mended release serves what ended the last one; an unmended one loses one server an hour.
+     * A fixed release serves a request that crashed the previous one; a faulty release loses one
+     * server per hour.
      */
     @Test
     public void aConfirmedRequestIsTriedOnceAnHour() {
-      CrashTable confirmed = after(ended("a"), ended("b"), tried(1), warned("c"));
+      CrashTable confirmed = after(crashed("a"), crashed("b"), trialStarted(1), warned("c"));
       assertEquals(confirmed.verdict(REQUEST, HOUR + SECOND), Verdict.TRIAL);
-      CrashTable tried = confirmed.with(List.of(tried(2)), HOUR + SECOND).table();
+      CrashTable tried = confirmed.with(List.of(trialStarted(2)), HOUR + SECOND).table();
       assertEquals(tried.verdict(REQUEST, HOUR + SECOND + 1), Verdict.REFUSED);
     }
   }
 
-  /** Reports come late, twice and in any order. */
+  /** Reports may arrive late, repeatedly and in any order. */
   public static final class Order {
     @Test
-    public void anyOrderMeansTheSame() {
+    public void reportsInAnyOrderHaveTheSameResult() {
       List<CrashReport> reports =
           new ArrayList<>(
-              List.of(ended("a"), ended("b"), tried(1), warned("c"), cleared("a"), tried(2)));
+              List.of(
+                  crashed("a"),
+                  crashed("b"),
+                  trialStarted(1),
+                  warned("c"),
+                  cleared("a"),
+                  trialStarted(2)));
       CrashTable expected = CrashTable.EMPTY.with(reports, 0).table();
       Random random = new Random(7);
       for (int i = 0; i < 200; i++) {
@@ -139,24 +158,28 @@
       }
     }
 
-    /** An instance was paused and tells of an end that was cleared long since. */
+    /**
+     * Guards against a crash that is counted again: a paused instance reports it long after it was
+     * cleared.
+     */
     @Test
-    public void aLateReportOfAClearedEndChangesNothing() {
+    public void aLateReportOfAClearedCrashChangesNothing() {
       CrashTable table = after(cleared("a"));
-      assertEquals(table.with(List.of(ended("a"), ended("a")), 0).newReports(), List.of());
+      assertEquals(table.with(List.of(crashed("a"), crashed("a")), 0).newReports(), List.of());
     }
 
     @Test
-    public void onlyNewsArePassedOn() {
-      CrashTable table = after(ended("a"), tried(1));
-      List<CrashReport> reports = List.of(ended("a"), ended("b"), tried(1));
-      assertEquals(table.with(reports, 0).newReports(), List.of(ended("b")));
+    public void onlyNewReportsAreReturned() {
+      CrashTable table = after(crashed("a"), trialStarted(1));
+      List<CrashReport> reports = List.of(crashed("a"), crashed("b"), trialStarted(1));
+      assertEquals(table.with(reports, 0).newReports(), List.of(crashed("b")));
     }
 
-    /** A new listener is told everything, and then knows as much. */
+    /** A new listener that receives all reports has the same state. */
     @Test
-    public void allReportsTogetherMakeTheSameTable() {
-      CrashTable table = after(ended("a"), ended("b"), tried(1), warned("c"), cleared("a"));
+    public void allReportsReproduceTheTable() {
+      CrashTable table =
+          after(crashed("a"), crashed("b"), trialStarted(1), warned("c"), cleared("a"));
       CrashTable copy = CrashTable.EMPTY.with(table.reports(), 0).table();
       assertEquals(copy.serversCrashedDuring(REQUEST), table.serversCrashedDuring(REQUEST));
       assertEquals(copy.suspicionLevel(REQUEST), table.suspicionLevel(REQUEST));
@@ -164,19 +187,19 @@
     }
   }
 
-  /** Memory. */
+  /** Limits on memory. */
   public static final class Bounds {
     private static RequestIdentity other(int number) {
       return new RequestIdentity(9, number);
     }
 
     /**
-     * Somebody brings thousands of different requests to servers that are about to end. The one
-     * under which three ended must not be forgotten for them.
+     * Guards against evicting a real cause. Thousands of different requests are sent to servers
+     * that are about to crash; the request during which three servers crashed must be kept.
      */
     @Test
-    public void aFloodOfSingleEndsDoesNotPushACauseOut() {
-      CrashTable table = after(ended("a"), ended("b"), tried(1), warned("c"));
+    public void manySingleCrashesDoNotEvictACause() {
+      CrashTable table = after(crashed("a"), crashed("b"), trialStarted(1), warned("c"));
       for (int i = 0; i < 3 * CrashTable.MAX_CASES; i++) {
         List<CrashReport> single = List.of(new CrashReport.Crashed(other(i), "s" + i, false));
         table = table.with(single, i + 1).table();
@@ -187,21 +210,24 @@
     }
 
     @Test
-    public void whatHasBeenQuietIsForgotten() {
-      CrashTable single = after(ended("a"));
+    public void unchangedCasesExpire() {
+      CrashTable single = after(crashed("a"));
       assertFalse(single.withoutExpired(TimeUnit.MINUTES.toNanos(9)).isEmpty());
       assertTrue(single.withoutExpired(TimeUnit.MINUTES.toNanos(11)).isEmpty());
-      CrashTable confirmed = after(ended("a"), ended("b"), tried(1), warned("c"));
+      CrashTable confirmed = after(crashed("a"), crashed("b"), trialStarted(1), warned("c"));
       assertFalse(confirmed.withoutExpired(23 * HOUR).isEmpty());
       assertTrue(confirmed.withoutExpired(25 * HOUR).isEmpty());
     }
 
-    /** Somebody clears and ends again and again: sets stay small, and the last word counts. */
+    /**
+     * Repeated crashes and clearances must not grow the sets without bound, and the last report
+     * applies.
+     */
     @Test
     public void manyClearancesAreBounded() {
       CrashTable table = CrashTable.EMPTY;
       for (int i = 0; i < 100; i++) {
-        table = table.with(List.of(ended("s" + i), cleared("s" + i)), 0).table();
+        table = table.with(List.of(crashed("s" + i), cleared("s" + i)), 0).table();
       }
       assertTrue(table.reports().size() <= 2);
       assertEquals(table.serversCrashedDuring(REQUEST), Set.of());
@@ -209,42 +235,42 @@
     }
   }
 
-  /** One end has one cause. */
+  /** Each crash is attributed to one cause. */
   public static final class Causes {
     private static final RequestIdentity BYSTANDER = new RequestIdentity(3, 4);
 
-    private static CrashReport.Crashed beside(String server, boolean warned) {
+    private static CrashReport.Crashed bystander(String server, boolean warned) {
       return new CrashReport.Crashed(BYSTANDER, server, warned);
     }
 
     /**
-     * A caller polls one path while another brings a deadly request, and has copies on three of the
-     * servers that end; its trial goes to the third. Once the deadly request is confirmed, its ends
-     * are no longer the poller's, who would be turned away for an hour.
+     * Guards against refusing a poller for an hour. It polls one path and has copies on three of
+     * the servers that a crashing request brings down, and its trial goes to the third of them.
+     * Once the crashing request is confirmed, its crashes no longer count against the poller.
      */
     @Test
-    public void endsOfAConfirmedRequestAreNobodyElses() {
+    public void crashesOfAConfirmedRequestAreNotHeldAgainstOthers() {
       CrashTable table =
           after(
-              ended("a"),
-              ended("b"),
-              ended("c"),
+              crashed("a"),
+              crashed("b"),
+              crashed("c"),
               warned("d"),
-              beside("b", false),
-              beside("c", false),
-              beside("d", true));
+              bystander("b", false),
+              bystander("c", false),
+              bystander("d", true));
       assertEquals(table.suspicionLevel(REQUEST), SuspicionLevel.CONFIRMED);
       assertEquals(table.suspicionLevel(BYSTANDER), SuspicionLevel.UNSUSPECTED);
       assertEquals(table.verdict(BYSTANDER, 0), Verdict.ALLOWED);
     }
 
     /**
-     * All ends came with one caller, whose request may differ from others' in what is not looked
-     * at. Others who ask for the same are let through; when a server ends under one of them too,
-     * nobody is.
+     * All crashes came with one caller, whose request may differ from those of others in parts that
+     * the identity does not include. Other callers with the same content are served; when a server
+     * crashes with one of them too, nobody is.
      */
     @Test
-    public void oneCallerHasNobodyElseTurnedAway() {
+    public void oneCallerDoesNotCauseOthersToBeRefused() {
       RequestIdentity content = RequestIdentity.ofContent("GET", "h", "/a", new byte[0]);
       RequestIdentity one = content.forCaller("10.0.0.1");
       RequestIdentity other = content.forCaller("10.0.0.2");
@@ -266,42 +292,45 @@
       assertEquals(table.verdict(content, 0), Verdict.REFUSED);
     }
 
-    /** Two deadly requests at a time: each has ends that the other does not explain. */
+    /** Of two concurrent crashing requests, each has crashes that the other does not explain. */
     @Test
     public void twoCausesAreBothConfirmed() {
       CrashTable table =
           after(
-              ended("a"),
-              ended("b"),
-              ended("c"),
+              crashed("a"),
+              crashed("b"),
+              crashed("c"),
               warned("d"),
-              beside("c", false),
-              beside("x", false),
-              beside("y", false),
-              beside("z", true));
+              bystander("c", false),
+              bystander("x", false),
+              bystander("y", false),
+              bystander("z", true));
       assertEquals(table.suspicionLevel(REQUEST), SuspicionLevel.CONFIRMED);
       assertEquals(table.suspicionLevel(BYSTANDER), SuspicionLevel.CONFIRMED);
     }
   }
 
-  /** Servers that were believed to have ended. */
-  public static final class Life {
+  /** Servers that are presumed to have crashed. */
+  public static final class PresumedCrashes {
     /**
-     * A server whose connections were reset and that refused one for a moment answers again. Its
-     * end was none, and is taken from every request that was blamed with it.
+     * A server whose connections were reset and that refused one for a moment answers again. It did
+     * not crash, and the presumed crash is removed from every request it was held against.
      */
     @Test
-    public void aServerThatAnswersHasNotEnded() {
-      CrashTable table = after(ended("a"), ended("b"));
+    public void aServerThatAnswersHasNotCrashed() {
+      CrashTable table = after(crashed("a"), crashed("b"));
       assertTrue(table.presumedCrashed("a"));
-      CrashTable lives = table.with(table.clearancesForServer("a", SECOND), SECOND).table();
-      assertEquals(lives.serversCrashedDuring(REQUEST), Set.of("b"));
+      CrashTable alive = table.with(table.clearancesForServer("a", SECOND), SECOND).table();
+      assertEquals(alive.serversCrashedDuring(REQUEST), Set.of("b"));
     }
 
-    /** An answer to what was sent before the end says nothing: it was made before. */
+    /**
+     * An answer to a request that was sent before the crash proves nothing about the server after
+     * it.
+     */
     @Test
-    public void anAnswerFromBeforeTheEndClearsNothing() {
-      CrashTable table = CrashTable.EMPTY.with(List.of(ended("a")), SECOND).table();
+    public void anAnswerToAnEarlierRequestClearsNothing() {
+      CrashTable table = CrashTable.EMPTY.with(List.of(crashed("a")), SECOND).table();
       assertEquals(table.clearancesForServer("a", SECOND - 1), List.of());
     }
   }
