--- a/front/src/main/java/org/magnoliaswitch/front/load/ColdShare.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/ColdShare.java
@@ -37,7 +37,7 @@
 
     /** Requests in any second that all instances together may plan with. */
     double plannedPerSecond(Warmup warmup) {
-      return excess * warmup.perSecond() + PLANNED_SLACK_SHARE * slack;
+      return excess * warmup.requestsPerSecond() + PLANNED_SLACK_SHARE * slack;
     }
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/peer/RouteTableCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/RouteTableCodec.java
@@ -12,7 +12,7 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Writes and reads a configuration, but for what {@link RouteExtrasCodec} adds. */
+/** Writes and reads a configuration, but for what {@link RouteExtensionsCodec} adds. */
 final class RouteTableCodec {
   private RouteTableCodec() {}
 
@@ -61,8 +61,8 @@
     out.packLong(route.objectiveNanos());
     out.packInt(route.priority());
     out.packInt(route.maxServers());
-    out.packArrayHeader(route.parts().size());
-    for (WeightedService part : route.parts()) {
+    out.packArrayHeader(route.services().size());
+    for (WeightedService part : route.services()) {
       out.packString(part.service());
       out.packDouble(part.weight());
     }
--- a/front/src/main/java/org/magnoliaswitch/front/process/NewsReader.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StatePoller.java
@@ -6,22 +6,22 @@
 import java.util.random.RandomGenerator;
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.front.loop.Loop;
-import org.magnoliaswitch.front.peer.ConfigurationNews;
-import org.magnoliaswitch.front.peer.PeerNews;
+import org.magnoliaswitch.front.peer.ConfigurationUpdate;
+import org.magnoliaswitch.front.peer.PeerUpdate;
 import org.magnoliaswitch.front.version.OperatorState;
 import org.magnoliaswitch.front.version.RouteTable;
 import org.magnoliaswitch.front.version.ServerList;
 
 /**
  * Keeps what this instance believes fresh: from peers, and by reading the platform when the {@link
- * ReadingPlan} says so. Runs on the control loop.
+ * PollingSchedule} says so. Runs on the control loop.
  *
  * <p>What operators declared and the servers are read apart and have ages of their own; an instance
  * is as fresh as the older of the two. One instance waits for changes of what operators declared. A
  * wait can go deaf while servers are still read, so it is short, and the age that only its answers
  * renew makes another instance read.
  */
-public final class NewsReader {
+public final class StatePoller {
   /** Spread of the wait after a failed read: instances must not ask a returning store together. */
   private static final long RETRY_SPAN_MILLIS = 300;
 
@@ -30,9 +30,9 @@
   /** Smallest time between two looks at the plan. */
   private static final long MIN_CHECK_MILLIS = 20;
 
-  private final NewsSource source;
+  private final StateSource source;
   private final KnownState knownState;
-  private final ReadingPlan plan;
+  private final PollingSchedule plan;
   private final Loop loop;
   private final Environment environment;
   private final Clocks clocks;
@@ -41,7 +41,7 @@
   private final Listener listener;
   private final BooleanSupplier hearsPeers;
   private final CrashArchive archive;
-  private final DiscoveryKeeper keeper = new DiscoveryKeeper();
+  private final DiscoveryReconciler reconciler = new DiscoveryReconciler();
   private final Freshness operatorState;
   private final Freshness servers = new Freshness();
   private final long startedNanos;
@@ -66,10 +66,10 @@
    * @param hearsPeers whether other instances tell their news
    * @param archive is read whenever the platform is
    */
-  public NewsReader(
-      NewsSource source,
+  public StatePoller(
+      StateSource source,
       KnownState knownState,
-      ReadingPlan plan,
+      PollingSchedule plan,
       Loop loop,
       Environment environment,
       Listener listener,
@@ -111,18 +111,19 @@
   }
 
   /** Takes what a peer knows. */
-  public void heard(PeerNews news, ServerList list) {
+  public void heard(PeerUpdate news, ServerList list) {
     long now = clocks.nanos();
     offer(new OperatorState(routes(news), news.evacuations()), "peer");
     if (list.version() > knownState.servers().version()) {
-      keeper.adopt(list, now);
+      reconciler.adopt(list, now);
       knownState.offer(list);
     }
     if (list.known() && news.evacuations().known()) {
       servers.confirmed(asOf(news.ageMillis()));
-      long version = news.configuration().map(ConfigurationNews::version).orElse(0L);
+      long version = news.configuration().map(ConfigurationUpdate::version).orElse(0L);
       if (version <= knownState.routesVersion()) {
-        long age = news.configuration().map(ConfigurationNews::ageMillis).orElse(news.ageMillis());
+        long age =
+            news.configuration().map(ConfigurationUpdate::ageMillis).orElse(news.ageMillis());
         operatorState.confirmed(asOf(age));
       }
     }
@@ -133,9 +134,9 @@
   }
 
   /** The configuration that a peer's news lead to; empty if that is the one in force. */
-  private RouteTable routes(PeerNews news) {
+  private RouteTable routes(PeerUpdate news) {
     return news.configuration()
-        .flatMap(ConfigurationNews::update)
+        .flatMap(ConfigurationUpdate::update)
         .flatMap(update -> update.applyTo(knownState.routes()))
         .or(news::routes)
         .orElse(RouteTable.EMPTY);
@@ -154,7 +155,7 @@
 
   private void check() {
     long uptime = TimeUnit.NANOSECONDS.toMillis(clocks.nanos() - startedNanos);
-    long wait = Math.min(plan.untilRead(ageOfOwnReadsMillis(), uptime), untilReleaseMillis());
+    long wait = Math.min(plan.untilRead(ageOfOwnReadsMillis(), uptime), untilRetentionEndsMillis());
     if (wait <= 0 || changesMissed) {
       read();
     } else {
@@ -172,8 +173,8 @@
     nextCheck = loop.afterMillis(millis, this::check);
   }
 
-  private long untilReleaseMillis() {
-    OptionalLong nanos = keeper.untilReleaseNanos(clocks.nanos());
+  private long untilRetentionEndsMillis() {
+    OptionalLong nanos = reconciler.untilRetentionEndsNanos(clocks.nanos());
     if (nanos.isEmpty()) {
       return Long.MAX_VALUE;
     }
@@ -191,8 +192,8 @@
     }
   }
 
-  private void operatorStateRead(NewsSource.Read<OperatorState> read, long asOf) {
-    if (read instanceof NewsSource.Read.Failed<OperatorState> failed) {
+  private void operatorStateRead(StateSource.Read<OperatorState> read, long asOf) {
+    if (read instanceof StateSource.Read.Failed<OperatorState> failed) {
       failed("configuration", failed.reason(), asOf);
       return;
     }
@@ -208,15 +209,15 @@
 
   private void awaitChange() {
     long begun = clocks.nanos();
-    source.nextOperatorState(ReadingPlan.WAIT_MILLIS, read -> changeCame(read, begun));
+    source.nextOperatorState(PollingSchedule.WAIT_MILLIS, read -> changeCame(read, begun));
   }
 
-  private void changeCame(NewsSource.Read<OperatorState> read, long begunNanos) {
-    if (read instanceof NewsSource.Read.Failed<OperatorState> failed) {
+  private void changeCame(StateSource.Read<OperatorState> read, long begunNanos) {
+    if (read instanceof StateSource.Read.Failed<OperatorState> failed) {
       waitFailed(failed.reason(), begunNanos);
       return;
     }
-    long waitNanos = TimeUnit.MILLISECONDS.toNanos(ReadingPlan.WAIT_MILLIS);
+    long waitNanos = TimeUnit.MILLISECONDS.toNanos(PollingSchedule.WAIT_MILLIS);
     boolean waited = clocks.nanos() - begunNanos >= waitNanos;
     operatorState.confirmed(waited ? begunNanos + waitNanos : begunNanos);
     if (!take(read)) {
@@ -230,7 +231,7 @@
   private void waitFailed(String reason, long begunNanos) {
     waitHealthy = false;
     changesMissed = true;
-    log.belief("wait_failed")
+    log.stateChange("wait_failed")
         .add("reason", reason)
         .add("took_ms", millisSince(begunNanos))
         .add("configuration_age_ms", operatorStateAgeMillis())
@@ -245,47 +246,47 @@
   }
 
   /** Puts in force what was read; returns whether it is newer than before. */
-  private boolean take(NewsSource.Read<OperatorState> read) {
-    return read instanceof NewsSource.Read.Known<OperatorState> known
+  private boolean take(StateSource.Read<OperatorState> read) {
+    return read instanceof StateSource.Read.Known<OperatorState> known
         && offer(known.value(), "store");
   }
 
-  private void serversRead(NewsSource.Read<ServerList> read, long asOf) {
+  private void serversRead(StateSource.Read<ServerList> read, long asOf) {
     reading = false;
     environment.metrics().count("platform.reads", "", "ended");
     switch (read) {
-      case NewsSource.Read.Known<ServerList> known -> {
+      case StateSource.Read.Known<ServerList> known -> {
         if (sourceLost) {
-          log.belief("source_regained").add("version", knownState.routesVersion()).write();
+          log.stateChange("source_regained").add("version", knownState.routesVersion()).write();
           sourceLost = false;
         }
-        knownState.offer(keeper.read(known.value(), clocks.nanos()));
+        knownState.offer(reconciler.reconcile(known.value(), clocks.nanos()));
         servers.confirmed(asOf);
         listener.changed();
         listener.readItself();
         archive.read();
         check();
       }
-      case NewsSource.Read.Unchanged<ServerList> unchanged -> {
+      case StateSource.Read.Unchanged<ServerList> unchanged -> {
         servers.confirmed(asOf);
         check();
       }
-      case NewsSource.Read.Failed<ServerList> failed -> failed("servers", failed.reason(), asOf);
+      case StateSource.Read.Failed<ServerList> failed -> failed("servers", failed.reason(), asOf);
     }
   }
 
   private void failed(String what, String reason, long asOf) {
     reading = false;
-    log.belief("read_failed")
+    log.stateChange("read_failed")
         .add("reading", what)
         .add("reason", reason)
         .add("took_ms", millisSince(asOf))
         .add("configuration_age_ms", operatorStateAgeMillis())
         .write();
     environment.metrics().count("platform.reads", "", "failed");
-    keeper.failed();
+    reconciler.readFailed();
     if (!sourceLost) {
-      log.belief("source_lost")
+      log.stateChange("source_lost")
           .add("reading", what)
           .add("reason", reason)
           .add("age_ms", ageMillis())
--- a/front/src/test/java/org/magnoliaswitch/front/load/AdmissionLimitTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/AdmissionLimitTest.java
@@ -40,7 +40,7 @@
   @Test(dataProvider = "loads")
   public void slotsAreFilledUpToTheKneeAndLateRequestsLeaveOneMoreFree(
       int running, Timeliness timeliness, boolean capacity) {
-    ServerState server = Servers.told("a", running, 1, NOW);
+    ServerState server = Servers.reporting("a", running, 1, NOW);
     assertEquals(hasCapacity(server, service(running), timeliness, NOW), capacity);
   }
 
@@ -50,7 +50,7 @@
    */
   @Test
   public void anOldSampleOfAnIdleServerIsIgnoredUnderHighLoad() {
-    ServerState server = Servers.told("a", 0, 1, NOW);
+    ServerState server = Servers.reporting("a", 0, 1, NOW);
     long later = NOW + TimeUnit.SECONDS.toNanos(1);
     assertEquals(hasCapacity(server, service(5), Timeliness.IN_TIME, later), false);
     assertEquals(hasCapacity(server, service(1), Timeliness.IN_TIME, later), true);
--- a/front/src/test/java/org/magnoliaswitch/front/load/ColdShareTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/ColdShareTest.java
@@ -192,7 +192,7 @@
     private static final long SPAN_NANOS = TimeUnit.SECONDS.toNanos(3);
 
     /** Each instance has a token bucket that refills at an equal share of the limit. */
-    private static final class TokenBuckets implements Bursts.Way {
+    private static final class TokenBuckets implements Bursts.SendPolicy {
       private final List<TokenBucket> buckets = new ArrayList<>();
       private final double perSecond;
 
@@ -214,7 +214,7 @@
     }
 
     /** Few instances are selected as senders. */
-    private static final class SelectedSenders implements Bursts.Way {
+    private static final class SelectedSenders implements Bursts.SendPolicy {
       private final List<SendWindow> windows = new ArrayList<>();
       private final String server;
 
@@ -241,9 +241,9 @@
       }
     }
 
-    private static long worst(Bursts.Way strategy) {
-      List<Long> sends = Bursts.play(strategy, INSTANCES, 0, SPAN_NANOS, STEP_NANOS);
-      return Bursts.mostInSpan(sends, TimeUnit.SECONDS.toNanos(1));
+    private static long worst(Bursts.SendPolicy strategy) {
+      List<Long> sends = Bursts.simulate(strategy, INSTANCES, 0, SPAN_NANOS, STEP_NANOS);
+      return Bursts.maxInWindow(sends, TimeUnit.SECONDS.toNanos(1));
     }
 
     /**
--- a/front/src/test/java/org/magnoliaswitch/front/load/PlacementTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/PlacementTest.java
@@ -44,15 +44,15 @@
 
     @Test
     public void aCurrentlySlowServerIsAvoided() {
-      ServerState slow = Servers.told("slow", 0, 4, NOW);
-      ServerState busy = Servers.told("busy", 3, 1, NOW);
+      ServerState slow = Servers.reporting("slow", 0, 4, NOW);
+      ServerState busy = Servers.reporting("busy", 3, 1, NOW);
       assertEquals(outer.best(List.of(slow, busy), NOW), "busy");
     }
 
     @Test
     public void aServerAboveItsKneeIsAvoided() {
-      ServerState full = Servers.told("full", 6, 1, NOW);
-      ServerState free = Servers.told("free", 3, 1, NOW);
+      ServerState full = Servers.reporting("full", 6, 1, NOW);
+      ServerState free = Servers.reporting("free", 3, 1, NOW);
       assertEquals(outer.best(List.of(full, free), NOW), "free");
     }
 
@@ -63,10 +63,10 @@
      */
     @Test
     public void anOldSampleOfASlowServerLosesItsWeight() {
-      ServerState once = Servers.told("once-slow", 0, 4, NOW);
+      ServerState once = Servers.reporting("once-slow", 0, 4, NOW);
       long later = NOW + TimeUnit.SECONDS.toNanos(2);
       PlacementContext context = context(later);
-      double usual = Placement.predictedNanos(Servers.told("x", 0, 1.75, later), context);
+      double usual = Placement.predictedNanos(Servers.reporting("x", 0, 1.75, later), context);
       assertEquals(Placement.predictedNanos(once, context) / usual, 1.0, 0.05);
     }
   }
@@ -81,8 +81,8 @@
      */
     @Test
     public void aServerThatFailsHalfOfItsRequestsIsAvoided() {
-      ServerState grey = Servers.told("grey", 0, 1, NOW);
-      ServerState busy = Servers.told("busy", 4, 1, NOW);
+      ServerState grey = Servers.reporting("grey", 0, 1, NOW);
+      ServerState busy = Servers.reporting("busy", 4, 1, NOW);
       for (int i = 0; i < 5; i++) {
         grey.recordFailure(NOW);
         grey.recordSuccess(1, NOW);
@@ -92,7 +92,7 @@
 
     @Test
     public void aServerThatFailedIsTriedAgainLater() {
-      ServerState failed = Servers.told("failed", 0, 1, NOW);
+      ServerState failed = Servers.reporting("failed", 0, 1, NOW);
       failed.recordFailure(NOW);
       failed.recordFailure(NOW);
       long later = NOW + TimeUnit.SECONDS.toNanos(60);
@@ -103,7 +103,7 @@
     public void aServerIsChosenEvenIfAllFail() {
       List<ServerState> servers = new ArrayList<>();
       for (int i = 0; i < 4; i++) {
-        ServerState server = Servers.told("s" + i, 0, 1, NOW);
+        ServerState server = Servers.reporting("s" + i, 0, 1, NOW);
         for (int k = 0; k < 10; k++) {
           server.recordFailure(NOW);
         }
@@ -118,8 +118,8 @@
      */
     @Test
     public void aServerWithLongLatenciesIsAvoided() {
-      ServerState slow = Servers.told("slow", 0, 1, NOW);
-      ServerState usual = Servers.told("usual", 2, 1, NOW);
+      ServerState slow = Servers.reporting("slow", 0, 1, NOW);
+      ServerState usual = Servers.reporting("usual", 2, 1, NOW);
       for (int i = 0; i < 6; i++) {
         slow.recordSuccess(5, NOW);
         usual.recordSuccess(1, NOW);
@@ -141,7 +141,7 @@
 
     @Test
     public void isDeniedOnACurrentlySlowServer() {
-      ServerState slow = Servers.told("slow", 0, 5, NOW);
+      ServerState slow = Servers.reporting("slow", 0, 5, NOW);
       assertFalse(Placement.expectedInTime(slow, allowed(160, 400)));
       assertTrue(Placement.expectedInTime(slow, allowed(160, 800)));
     }
@@ -153,7 +153,7 @@
      */
     @Test
     public void isAllowedWhereOwnAnswersWereSlow() {
-      ServerState recovered = Servers.told("only", 0, 1, NOW);
+      ServerState recovered = Servers.reporting("only", 0, 1, NOW);
       for (int i = 0; i < 10; i++) {
         recovered.recordSuccess(20, NOW);
       }
@@ -166,7 +166,8 @@
      */
     @Test
     public void isAllowedIfTheUsualLatencyExceedsTheAllowedTime() {
-      assertTrue(Placement.expectedInTime(Servers.told("a", 0, 1, NOW), allowed(3_000, 1_200)));
+      assertTrue(
+          Placement.expectedInTime(Servers.reporting("a", 0, 1, NOW), allowed(3_000, 1_200)));
     }
   }
 
@@ -184,13 +185,13 @@
 
     @Test
     public void theLocalServerIsPreferredIfBothAreGood() {
-      ServerState local = Servers.told("near", 1, 1, NOW);
+      ServerState local = Servers.reporting("near", 1, 1, NOW);
       assertEquals(outer.best(List.of(remote(1, 1), local), NOW), "near");
     }
 
     @Test
     public void theRemoteServerIsPreferredIfTheLocalOneIsSlow() {
-      ServerState local = Servers.told("near", 1, 4, NOW);
+      ServerState local = Servers.reporting("near", 1, 4, NOW);
       assertEquals(outer.best(List.of(remote(1, 1), local), NOW), "remote");
     }
   }
--- a/front/src/test/java/org/magnoliaswitch/front/load/RateLimitShareTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/RateLimitShareTest.java
@@ -116,7 +116,8 @@
     private static final long IDLE_NANOS = TimeUnit.SECONDS.toNanos(60);
 
     /** Each instance has a bucket of one token that refills at an equal share of the limit. */
-    private record TokenBuckets(List<TokenBucket> buckets, double perSecond) implements Bursts.Way {
+    private record TokenBuckets(List<TokenBucket> buckets, double perSecond)
+        implements Bursts.SendPolicy {
       static TokenBuckets of(int instances, double perSecond) {
         List<TokenBucket> buckets = new ArrayList<>();
         for (int i = 0; i < instances; i++) {
@@ -133,7 +134,7 @@
 
     /** Each instance has its share of each window. */
     private record WindowShares(List<SendWindow> windows, List<RateLimitShare> shares)
-        implements Bursts.Way {
+        implements Bursts.SendPolicy {
       static WindowShares of(int instances, double perSecond, String server) {
         List<SendWindow> windows = new ArrayList<>();
         List<RateLimitShare> shares = new ArrayList<>();
@@ -156,12 +157,12 @@
       }
     }
 
-    private static List<Long> simulate(Bursts.Way strategy, int instances) {
-      return Bursts.play(strategy, instances, IDLE_NANOS, SIMULATED_NANOS, STEP_NANOS);
+    private static List<Long> simulate(Bursts.SendPolicy strategy, int instances) {
+      return Bursts.simulate(strategy, instances, IDLE_NANOS, SIMULATED_NANOS, STEP_NANOS);
     }
 
     private static long maxInWindow(List<Long> sends) {
-      return Bursts.mostInSpan(sends, RateLimitShare.WINDOW_NANOS);
+      return Bursts.maxInWindow(sends, RateLimitShare.WINDOW_NANOS);
     }
 
     @DataProvider
--- a/front/src/test/java/org/magnoliaswitch/front/load/ServerSelectionTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/ServerSelectionTest.java
@@ -29,7 +29,7 @@
 
   @Test
   public void anUndisturbedServerWithAFreshSampleIsChosen() {
-    ServerState fresh = Servers.told("a", 1, 1, NOW);
+    ServerState fresh = Servers.reporting("a", 1, 1, NOW);
     assertEquals(next(true, fresh), new ServerSelection.Step.Send(fresh));
   }
 
@@ -40,9 +40,9 @@
    */
   @Test
   public void onlyServersWithOldSamplesAreProbed() {
-    ServerState slow = Servers.told("a", 1, 4, NOW);
-    ServerState old = Servers.told("b", 1, 1, OLD);
-    ServerState other = Servers.told("c", 1, 1, OLD);
+    ServerState slow = Servers.reporting("a", 1, 4, NOW);
+    ServerState old = Servers.reporting("b", 1, 1, OLD);
+    ServerState other = Servers.reporting("c", 1, 1, OLD);
     assertEquals(next(true, slow, old, other), new ServerSelection.Step.Probe(List.of(old, other)));
   }
 
@@ -54,7 +54,7 @@
   public void eachRoundProbesOneServerMore() {
     List<Ranked> ranked =
         Stream.of("a", "b", "c", "d")
-            .map(id -> new Ranked(Servers.told(id, 1, 1, OLD), 0, true))
+            .map(id -> new Ranked(Servers.reporting(id, 1, 1, OLD), 0, true))
             .toList();
     for (int round = 0; round < 3; round++) {
       ServerSelection.Step step = ServerSelection.next(ranked, CONTEXT, round, true);
@@ -67,7 +67,7 @@
   /** Guards against health checks at a server that asked for fewer requests. */
   @Test
   public void aServerWithALimitIsChosenWithoutAProbe() {
-    ServerState limited = Servers.told("a", 1, 1, OLD);
+    ServerState limited = Servers.reporting("a", 1, 1, OLD);
     ServerNotice notice = new ServerNotice(false, OptionalDouble.of(4.6), 0);
     limited.backpressure().recordAnswer(notice, OLD, OLD);
     assertEquals(next(true, limited), new ServerSelection.Step.Send(limited));
@@ -75,7 +75,7 @@
 
   @Test
   public void aSlowServerIsChosenIfAllSamplesAreFresh() {
-    ServerState slow = Servers.told("a", 1, 4, NOW);
+    ServerState slow = Servers.reporting("a", 1, 4, NOW);
     assertEquals(next(true, slow), new ServerSelection.Step.Send(slow));
   }
 
@@ -86,7 +86,7 @@
    */
   @Test
   public void aRequestDoesNotStartWhereItsAnswerWouldBeLate() {
-    ServerState slow = Servers.told("a", 1, 5, NOW);
+    ServerState slow = Servers.reporting("a", 1, 5, NOW);
     ServerSelection.Step step =
         ServerSelection.next(List.of(new Ranked(slow, 0, false)), CONTEXT, 0, false);
     assertTrue(step instanceof ServerSelection.Step.AllBusy);
@@ -94,7 +94,7 @@
 
   @Test
   public void noServerIsProbedIfProbesAreNotPossible() {
-    ServerState old = Servers.told("b", 1, 1, OLD);
+    ServerState old = Servers.reporting("b", 1, 1, OLD);
     assertEquals(next(false, old), new ServerSelection.Step.Send(old));
   }
 
@@ -105,8 +105,8 @@
    */
   @Test
   public void anUnprobedServerIsNotChosenIfTheProbedOnesAreFull() {
-    ServerState full = Servers.told("a", 6, 1, NOW);
-    ServerState old = Servers.told("b", 0, 1, OLD);
+    ServerState full = Servers.reporting("a", 6, 1, NOW);
+    ServerState old = Servers.reporting("b", 0, 1, OLD);
     List<Ranked> ranked = List.of(new Ranked(full, 0, true), new Ranked(old, 1, true));
     assertTrue(
         ServerSelection.next(ranked, CONTEXT, ROUND_AFTER_LAST, true)
@@ -119,7 +119,7 @@
    */
   @Test
   public void withoutAnyAnswerTheBestRankedServerIsChosen() {
-    ServerState old = Servers.told("b", 0, 1, OLD);
+    ServerState old = Servers.reporting("b", 0, 1, OLD);
     List<Ranked> ranked = List.of(new Ranked(old, 1, true));
     assertEquals(
         ServerSelection.next(ranked, CONTEXT, ROUND_AFTER_LAST, true),
@@ -128,7 +128,7 @@
 
   @Test
   public void busyAndMissingServersAreDistinguished() {
-    ServerState busy = Servers.told("a", 6, 1, NOW);
+    ServerState busy = Servers.reporting("a", 6, 1, NOW);
     assertTrue(next(true, busy) instanceof ServerSelection.Step.AllBusy);
     assertTrue(next(true) instanceof ServerSelection.Step.NoServer);
   }
