--- a/front/src/main/java/org/magnoliaswitch/front/peer/Compression.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/Compression.java
@@ -8,14 +8,17 @@
 import java.util.zip.InflaterInputStream;
 import java.util.zip.ZipException;
 
-/** Compresses what is long: configurations and lists repeat the same words in each entry. */
+/**
+ * Compression of large messages. It pays off because configurations and server lists repeat the
+ * same words in each entry.
+ */
 final class Compression {
-  /** Longer content must not be given memory. */
+  /** Limit of decompressed content, which bounds the memory that one message can allocate. */
   static final int MAX_BYTES = 32 << 20;
 
   private Compression() {}
 
-  static byte[] deflated(byte[] content) {
+  static byte[] compress(byte[] content) {
     ByteArrayOutputStream compressed = new ByteArrayOutputStream();
     try (DeflaterOutputStream out = new DeflaterOutputStream(compressed)) {
       out.write(content);
@@ -25,12 +28,16 @@
     return compressed.toByteArray();
   }
 
-  /** Reads what was compressed; anything malformed is an {@link IOException}. */
-  static byte[] inflated(byte[] compressed) throws IOException {
+  /**
+   * Reverses {@link #compress}.
+   *
+   * @throws IOException if the content is malformed or too long
+   */
+  static byte[] decompress(byte[] compressed) throws IOException {
     try (InflaterInputStream in = new InflaterInputStream(new ByteArrayInputStream(compressed))) {
       byte[] content = in.readNBytes(MAX_BYTES + 1);
       if (content.length > MAX_BYTES) {
-        throw new IOException("compressed content is too long");
+        throw new IOException("decompressed content exceeds the size limit");
       }
       return content;
     } catch (ZipException | EOFException e) {
--- a/front/src/main/java/org/magnoliaswitch/front/peer/ConfigurationUpdate.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/ConfigurationUpdate.java
@@ -4,12 +4,13 @@
 import org.magnoliaswitch.front.version.RouteUpdate;
 
 /**
- * How far a peer's configuration has got.
+ * The state of a peer's configuration.
  *
  * @param version version in force at the peer
- * @param ageMillis how long ago that, and which data centres are evacuated, was known to be the
- *     newest; a peer that waits for changes tells it more often than it reads the servers
- * @param update what leads the listener there; absent if it has that version, if an update is still
- *     on its way, or if another peer sends it
+ * @param ageMillis time since this version and the evacuated data centres were confirmed to be the
+ *     newest; kept apart from the age of the whole update because a peer that waits for changes
+ *     confirms the configuration more often than it reads the server list
+ * @param update update from the listener's version to the peer's version; absent if the listener
+ *     already has that version, if an update is still in flight, or if another peer sends it
  */
 public record ConfigurationUpdate(long version, long ageMillis, Optional<RouteUpdate> update) {}
--- a/front/src/main/java/org/magnoliaswitch/front/peer/HeldConfiguration.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/HeldConfiguration.java
@@ -1,21 +1,21 @@
 package org.magnoliaswitch.front.peer;
 
 /**
- * What a listener has of the configuration, and when it wants what it lacks.
+ * The configuration version that a listener holds, and how urgently it wants newer ones.
  *
  * @param version version in force at the listener; 0 if none
- * @param lastUpdate version of the last update that came on this connection; 0 if none. Another one
- *     is sent only after it, so that versions never queue up on a narrow link
- * @param delivery when it wants updates
+ * @param lastUpdate version of the last update received on this connection; 0 if none. The sender
+ *     waits for it before it sends another update, so that versions never queue up on a slow link
+ * @param delivery how soon it wants updates
  */
 public record HeldConfiguration(long version, long lastUpdate, Delivery delivery) {
-  /** When a listener is sent updates. */
+  /** How soon a listener is sent updates. */
   public enum Delivery {
-    /** Before all others, since it passes them on. */
+    /** Before all other listeners, because it forwards the updates to its own. */
     FIRST,
-    /** At once. */
+    /** Without delay, because the listener relies on this instance for updates. */
     IMMEDIATE,
-    /** After a while, since another peer sends them at once. */
+    /** After a delay and only if still needed, because another peer sends updates immediately. */
     DEFERRED
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/peer/ListenerUpdate.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/ListenerUpdate.java
@@ -5,19 +5,19 @@
 import org.magnoliaswitch.core.crash.CrashReport;
 
 /**
- * One message of a listener to the instance that it listens to.
+ * A message from a listener to the instance that it listens to.
  *
- * @param crashes what it has seen of requests under which servers end
- * @param held what it has of the configuration; absent in messages of an earlier release
- * @param forwarded what it has read itself, if the instance that it listens to seems not to be able
- *     to; only with what it holds
+ * @param crashes crash reports of the listener, about requests that make servers crash
+ * @param held the configuration that the listener holds; absent in messages of an earlier release
+ * @param forwarded state that the listener has read from the platform itself, sent when the
+ *     instance that it listens to seems unable to read; present only together with {@code held}
  */
 record ListenerUpdate(
     List<CrashReport> crashes, Optional<HeldConfiguration> held, Optional<PeerUpdate> forwarded) {
   ListenerUpdate {
     crashes = List.copyOf(crashes);
     if (forwarded.isPresent() && held.isEmpty()) {
-      throw new IllegalArgumentException("what is passed on follows what is held");
+      throw new IllegalArgumentException("a forwarded update requires the held configuration");
     }
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/peer/ListenerUpdateCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/ListenerUpdateCodec.java
@@ -11,8 +11,8 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Writes and reads {@link ListenerUpdate} as MessagePack. Instances of an earlier release write and
- * read the reports alone, and pass over what follows them.
+ * Encodes and decodes {@link ListenerUpdate} as MessagePack. Instances of an earlier release write
+ * only the crash reports, and ignore the fields after them when reading.
  */
 final class ListenerUpdateCodec {
   private static final List<HeldConfiguration.Delivery> DELIVERIES =
@@ -23,17 +23,17 @@
 
   private ListenerUpdateCodec() {}
 
-  static byte[] encode(ListenerUpdate news) {
+  static byte[] encode(ListenerUpdate update) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-      CrashReportCodec.write(out, news.crashes());
-      if (news.held().isPresent()) {
-        HeldConfiguration held = news.held().get();
+      CrashReportCodec.write(out, update.crashes());
+      if (update.held().isPresent()) {
+        HeldConfiguration held = update.held().get();
         out.packLong(held.version());
         out.packLong(held.lastUpdate());
         out.packInt(DELIVERIES.indexOf(held.delivery()));
       }
-      if (news.forwarded().isPresent()) {
-        byte[] forwarded = Compression.deflated(PeerUpdateCodec.encode(news.forwarded().get()));
+      if (update.forwarded().isPresent()) {
+        byte[] forwarded = Compression.compress(PeerUpdateCodec.encode(update.forwarded().get()));
         out.packBinaryHeader(forwarded.length);
         out.writePayload(forwarded);
       }
@@ -43,7 +43,11 @@
     }
   }
 
-  /** Decodes a message; anything malformed is an {@link IOException}. */
+  /**
+   * Decodes a message.
+   *
+   * @throws IOException if the message is malformed
+   */
   static ListenerUpdate decode(byte[] bytes) throws IOException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       List<CrashReport> crashes = CrashReportCodec.read(in);
@@ -52,16 +56,17 @@
           in.hasNext() ? Optional.of(forwarded(in, bytes.length)) : Optional.empty();
       return new ListenerUpdate(crashes, held, forwarded);
     } catch (MessagePackException | IllegalArgumentException e) {
-      throw new IOException("malformed news of a listener", e);
+      throw new IOException("malformed listener update", e);
     }
   }
 
   private static PeerUpdate forwarded(MessageUnpacker in, int messageLength) throws IOException {
     int length = in.unpackBinaryHeader();
     if (length > messageLength) {
-      throw new IOException("news of " + length + " bytes do not fit their message");
+      throw new IOException(
+          "forwarded update of " + length + " bytes exceeds the length of its message");
     }
-    return PeerUpdateCodec.decode(Compression.inflated(in.readPayload(length)));
+    return PeerUpdateCodec.decode(Compression.decompress(in.readPayload(length)));
   }
 
   private static HeldConfiguration held(MessageUnpacker in) throws IOException {
--- a/front/src/main/java/org/magnoliaswitch/front/peer/MessageCache.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/MessageCache.java
@@ -13,83 +13,90 @@
 import org.magnoliaswitch.front.version.ServerList;
 
 /**
- * What listeners are sent, encoded once for all that lack the same. Nearly all of them were told
- * the same before: a seed of a large system would spend most of its processor time on comparing and
- * encoding the same for each. Used by one thread.
+ * Caches encoded messages, so that a message is encoded once for all listeners that need the same
+ * content. Nearly all listeners were sent the same content before; without the cache, a seed of a
+ * large system would spend most of its processor time comparing and encoding identical state for
+ * each of them. Not thread-safe.
  */
 final class MessageCache {
-  /** Stands for all versions from which only the whole configuration leads on. */
-  private static final long ANY_VERSION = 0;
+  /** Cache key for all versions whose changes are unknown, which need the whole configuration. */
+  private static final long WHOLE_CONFIGURATION = 0;
 
   private final RouteHistory history = new RouteHistory();
   private final Map<Long, byte[]> updatesByBase = new HashMap<>();
-  private @Nullable Encoded last;
+  private @Nullable CachedMessage lastMessage;
 
-  /** What a message depends on; a version names one list and one configuration of this instance. */
-  private record Told(
+  /**
+   * The inputs that determine a message. Within one instance, a version identifies exactly one
+   * server list and one configuration.
+   */
+  private record MessageKey(
       long ageMillis,
       long serversBefore,
-      long serversNow,
+      long serversAfter,
       long routesBefore,
-      long routesNow,
+      long routesAfter,
       int instances,
       Evacuations evacuations,
       List<CrashReport> crashes) {}
 
-  /** A message and what it was made from. */
-  private record Encoded(Told told, byte[] bytes) {}
+  /** An encoded message and the inputs that it was made from. */
+  private record CachedMessage(MessageKey key, byte[] bytes) {}
 
-  /** Notes the configuration in force here, so that differences lead from it. */
-  void inForce(RouteTable routes) {
+  /** Adds the configuration in force to the history from which changes are computed. */
+  void recordInForce(RouteTable routes) {
     if (history.add(routes)) {
       updatesByBase.clear();
     }
   }
 
-  /** What leads a listener from the version that it has to the one in force here. */
+  /** Encoded update from the version that a listener holds to the configuration in force. */
   byte[] update(RouteTable routes, long held) {
-    inForce(routes);
+    recordInForce(routes);
     RouteUpdate update = history.since(held);
-    long base = update instanceof RouteUpdate.Changes ? held : ANY_VERSION;
+    long base = update instanceof RouteUpdate.Changes ? held : WHOLE_CONFIGURATION;
     return updatesByBase.computeIfAbsent(
         base, unused -> RouteUpdateCodec.encode(Optional.of(update)));
   }
 
   /**
-   * The message, but for its end, to a listener that was told a list and a version before.
+   * Encoded message to a listener, without the tail that differs between listeners.
    *
-   * @param instances how many instances there are
+   * @param current the state of this instance
+   * @param instances number of instances
+   * @param sentServers server list that the listener was sent last
+   * @param sentRoutesVersion configuration version that the listener was sent last
    */
   byte[] message(
-      PeerHub.Snapshot now,
+      PeerHub.Snapshot current,
       int instances,
-      ServerList toldServers,
-      long toldRoutes,
+      ServerList sentServers,
+      long sentRoutesVersion,
       List<CrashReport> crashes) {
-    Told told =
-        new Told(
-            now.ageMillis(),
-            toldServers.version(),
-            now.servers().version(),
-            toldRoutes,
-            now.routes().version(),
+    MessageKey key =
+        new MessageKey(
+            current.ageMillis(),
+            sentServers.version(),
+            current.servers().version(),
+            sentRoutesVersion,
+            current.routes().version(),
             instances,
-            now.evacuations(),
+            current.evacuations(),
             crashes);
-    if (last == null || !last.told().equals(told)) {
-      boolean lacksRoutes = now.routes().version() > toldRoutes;
+    if (lastMessage == null || !lastMessage.key().equals(key)) {
+      boolean routesOutdated = current.routes().version() > sentRoutesVersion;
       PeerUpdate message =
           new PeerUpdate(
-              now.ageMillis(),
+              current.ageMillis(),
               instances,
-              lacksRoutes ? Optional.of(now.routes()) : Optional.empty(),
-              ServerChanges.between(toldServers, now.servers()),
-              now.evacuations(),
+              routesOutdated ? Optional.of(current.routes()) : Optional.empty(),
+              ServerChanges.between(sentServers, current.servers()),
+              current.evacuations(),
               crashes,
               Optional.empty(),
               Optional.empty());
-      last = new Encoded(told, PeerUpdateCodec.encode(message));
+      lastMessage = new CachedMessage(key, PeerUpdateCodec.encode(message));
     }
-    return last.bytes();
+    return lastMessage.bytes();
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerHub.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerHub.java
@@ -155,9 +155,9 @@
   /** Tells everyone now, and what is new about requests under which servers end. */
   public void publish(List<CrashReport> crashes) {
     Snapshot now = snapshot.get();
-    messages.inForce(now.routes());
+    messages.recordInForce(now.routes());
     listeners.stream()
-        .sorted(Comparator.comparingInt(listener -> listener.updates.rank()))
+        .sorted(Comparator.comparingInt(listener -> listener.updates.sendOrder()))
         .toList()
         .forEach(listener -> listener.send(now, crashes));
     listenersBehind = listeners.stream().filter(listener -> listener.updates.behind()).count();
@@ -184,7 +184,7 @@
   /** An instance that listens, and what it has been told. */
   private final class Listener extends SimpleChannelInboundHandler<ByteBuf> {
     private final Channel channel;
-    private final UpdateFlow updates = new UpdateFlow();
+    private final UpdateFlowControl updates = new UpdateFlowControl();
     private final StallDetector stall = new StallDetector();
     private final long sinceNanos = clocks.nanos();
     private int place = OWN_PLACE;
@@ -214,7 +214,7 @@
       try {
         ListenerUpdate news = ListenerUpdateCodec.decode(bytes);
         if (news.held().isPresent()) {
-          updates.holds(news.held().get(), clocks.nanos());
+          updates.acknowledged(news.held().get(), clocks.nanos());
           sendIfBehind();
         }
         reported.accept(news.crashes());
@@ -262,7 +262,8 @@
       List<CrashReport> reports = missedReports ? now.crashes().reports() : crashes;
       missedReports = false;
       long version = now.routes().version();
-      boolean earlierRelease = !updates.known() && clocks.nanos() - sinceNanos >= GREETING_NANOS;
+      boolean earlierRelease =
+          !updates.hasAcknowledged() && clocks.nanos() - sinceNanos >= GREETING_NANOS;
       byte[] message =
           messages.message(
               now, instances(), toldServers, earlierRelease ? toldRoutes : ALL_VERSIONS, reports);
@@ -272,7 +273,7 @@
       toldServers = now.servers();
       byte[] end = PeerUpdateCodec.encodeEnd(placeAt(place), version, now.routesAgeMillis());
       byte[] update =
-          updates.send(version, clocks.nanos())
+          updates.startUpdate(version, clocks.nanos())
               ? messages.update(now.routes(), updates.heldVersion())
               : NO_UPDATE;
       bytesSent.add(message.length + end.length + update.length);
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerSubscription.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerSubscription.java
@@ -26,47 +26,50 @@
 import org.magnoliaswitch.front.version.ServerList;
 
 /**
- * Listens to the news of one other instance, and connects again when they stop coming. Runs on the
+ * Receives the updates of one other instance, and reconnects when they stop arriving. Runs on the
  * control loop.
  */
 public final class PeerSubscription {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** Longest message of either side. */
+  /** Size limit of a message in either direction. */
   static final int MAX_MESSAGE_BYTES = 4 << 20;
 
   private static final int LENGTH_BYTES = 4;
   private static final int CONNECT_TIMEOUT_MILLIS = 500;
   private static final long CHECK_MILLIS = 500;
 
-  /** A connection on which nothing comes in for this long is silent: four heartbeats. */
+  /** Time without incoming bytes after which a connection counts as silent: four heartbeats. */
   private static final long SILENT_NANOS = TimeUnit.MILLISECONDS.toNanos(1_600);
 
-  /** A peer that can read, or hears of one that does, never knows less than this. */
+  /**
+   * Age above which a peer's state is stale; a peer that can read the platform, or receives updates
+   * from an instance that can, stays below it.
+   */
   private static final long STALE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_200);
 
-  /** Takes news in the form in which they can be believed. */
+  /** Receives the peer's updates together with its complete server list. */
   @FunctionalInterface
   public interface Listener {
     /**
-     * News of a peer.
+     * Called for each update of the peer.
      *
-     * @param news the message
-     * @param servers the peer's whole list
+     * @param update the message
+     * @param servers the peer's complete server list after the update
      */
-    void received(PeerUpdate news, ServerList servers);
+    void received(PeerUpdate update, ServerList servers);
   }
 
   private final Loop loop;
   private final Clocks clocks;
   private final InetSocketAddress peer;
   private final Listener listener;
-  private final Supplier<List<CrashReport>> known;
+  private final Supplier<List<CrashReport>> crashReports;
   private final Supplier<HeldConfiguration> held;
   private @Nullable Channel channel;
   private @Nullable HeldConfiguration acknowledged;
   private long lastUpdate;
-  private long peerAsOfNanos;
+  private long peerConfirmedNanos;
   private long peerVersion;
   private long receivingSinceNanos;
   private ServerList servers = ServerList.EMPTY;
@@ -75,19 +78,20 @@
   private long lastReceivedNanos;
 
   /**
-   * Creates one that does not listen yet.
+   * Creates a subscription that is not started yet.
    *
-   * @param known what the peer is told of requests under which servers end, once it is connected
-   * @param held what this instance has of the configuration, but for the last update
+   * @param crashReports crash reports to send to the peer once it is connected
+   * @param held the configuration that this instance holds; its {@code lastUpdate} is ignored,
+   *     since this class keeps it for each connection
    */
   public PeerSubscription(
       Loop loop,
       Clocks clocks,
       InetSocketAddress peer,
       Listener listener,
-      Supplier<List<CrashReport>> known,
+      Supplier<List<CrashReport>> crashReports,
       Supplier<HeldConfiguration> held) {
-    this.known = known;
+    this.crashReports = crashReports;
     this.held = held;
     this.loop = loop;
     this.clocks = clocks;
@@ -95,69 +99,70 @@
     this.listener = listener;
   }
 
-  /** Begins to listen. */
+  /** Connects to the peer, and reconnects from then on whenever the connection is lost. */
   public void start() {
     loop.execute(this::check);
     loop.everyMillis(CHECK_MILLIS, this::check);
   }
 
-  /** Whether news have come lately. */
+  /** Whether updates arrive; false from the loss of a connection to the next update. */
   public boolean receiving() {
     return receiving;
   }
 
   /**
-   * Reports to the peer, which tells all that listen to it. A peer that does not read loses the
-   * connection, and gets everything once it is back.
+   * Sends crash reports to the peer, which publishes them to all of its listeners. The connection
+   * to a peer that does not read is closed, and the peer gets all reports once it is connected
+   * again.
    */
   public void report(List<CrashReport> crashes) {
     if (channel == null || crashes.isEmpty()) {
       return;
     }
     if (channel.isWritable()) {
-      send(new ListenerUpdate(crashes, Optional.of(heldNow()), Optional.empty()));
+      send(new ListenerUpdate(crashes, Optional.of(currentlyHeld()), Optional.empty()));
     } else {
       Channels.close(channel);
     }
   }
 
-  /** Tells the peer what this instance has of the configuration, if that is new to it. */
+  /** Sends the configuration version that this instance holds, unless the peer has it already. */
   public void acknowledge() {
-    HeldConfiguration now = heldNow();
-    if (channel != null && channel.isWritable() && !now.equals(acknowledged)) {
-      send(new ListenerUpdate(List.of(), Optional.of(now), Optional.empty()));
+    HeldConfiguration current = currentlyHeld();
+    if (channel != null && channel.isWritable() && !current.equals(acknowledged)) {
+      send(new ListenerUpdate(List.of(), Optional.of(current), Optional.empty()));
     }
   }
 
-  /** Whether the peer has known much less than it could for some time. */
+  /** Whether the peer's state has been stale for at least {@link #STALE_NANOS}. */
   public boolean peerStale() {
     long now = clocks.nanos();
     return receiving
-        && now - peerAsOfNanos > STALE_NANOS
+        && now - peerConfirmedNanos > STALE_NANOS
         && now - receivingSinceNanos > STALE_NANOS;
   }
 
   /**
-   * Passes on what this instance has read itself.
+   * Forwards the state that this instance has read from the platform itself.
    *
-   * @param read makes the message, given the version of the peer's configuration
+   * @param updateFactory creates the update, given the version of the peer's configuration
    */
-  public void forward(LongFunction<PeerUpdate> read) {
+  public void forward(LongFunction<PeerUpdate> updateFactory) {
     if (channel != null && channel.isWritable()) {
-      PeerUpdate news = read.apply(peerVersion);
-      send(new ListenerUpdate(List.of(), Optional.of(heldNow()), Optional.of(news)));
+      PeerUpdate update = updateFactory.apply(peerVersion);
+      send(new ListenerUpdate(List.of(), Optional.of(currentlyHeld()), Optional.of(update)));
     }
   }
 
-  private HeldConfiguration heldNow() {
-    HeldConfiguration own = held.get();
-    return new HeldConfiguration(own.version(), lastUpdate, own.delivery());
+  private HeldConfiguration currentlyHeld() {
+    HeldConfiguration current = held.get();
+    return new HeldConfiguration(current.version(), lastUpdate, current.delivery());
   }
 
-  private void send(ListenerUpdate news) {
-    acknowledged = news.held().orElse(null);
+  private void send(ListenerUpdate update) {
+    acknowledged = update.held().orElse(null);
     if (channel != null) {
-      Channels.write(channel, Unpooled.wrappedBuffer(ListenerUpdateCodec.encode(news)));
+      Channels.write(channel, Unpooled.wrappedBuffer(ListenerUpdateCodec.encode(update)));
     }
   }
 
@@ -188,26 +193,29 @@
                 servers = ServerList.EMPTY;
                 lastUpdate = 0;
                 lastReceivedNanos = clocks.nanos();
-                send(new ListenerUpdate(known.get(), Optional.of(heldNow()), Optional.empty()));
+                send(
+                    new ListenerUpdate(
+                        crashReports.get(), Optional.of(currentlyHeld()), Optional.empty()));
               }
             });
   }
 
   private void received(byte[] bytes) {
     try {
-      PeerUpdate news = PeerUpdateCodec.decode(bytes);
-      peerAsOfNanos = clocks.nanos() - TimeUnit.MILLISECONDS.toNanos(news.ageMillis());
-      peerVersion = news.configuration().map(ConfigurationUpdate::version).orElse(0L);
-      servers = news.servers().applyTo(servers);
-      news.configuration()
+      PeerUpdate update = PeerUpdateCodec.decode(bytes);
+      peerConfirmedNanos = clocks.nanos() - TimeUnit.MILLISECONDS.toNanos(update.ageMillis());
+      peerVersion = update.configuration().map(ConfigurationUpdate::version).orElse(0L);
+      servers = update.servers().applyTo(servers);
+      update
+          .configuration()
           .flatMap(ConfigurationUpdate::update)
-          .ifPresent(update -> lastUpdate = update.version());
+          .ifPresent(routeUpdate -> lastUpdate = routeUpdate.version());
       if (!receiving) {
         receiving = true;
         receivingSinceNanos = lastReceivedNanos;
-        logger.atInfo().log("event=peer_heard peer=%s age_ms=%d", peer, news.ageMillis());
+        logger.atInfo().log("event=peer_heard peer=%s age_ms=%d", peer, update.ageMillis());
       }
-      listener.received(news, servers);
+      listener.received(update, servers);
     } catch (IOException e) {
       logger.atWarning().withCause(e).log("event=peer_malformed peer=%s", peer);
       if (channel != null) {
@@ -218,19 +226,22 @@
 
   private final class Pipeline extends ChannelInitializer<Channel> {
     @Override
-    protected void initChannel(Channel opened) {
-      opened
+    protected void initChannel(Channel newChannel) {
+      newChannel
           .pipeline()
           .addLast(
-              new Arrivals(),
+              new ActivityRecorder(),
               new LengthFieldBasedFrameDecoder(MAX_MESSAGE_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
               new LengthFieldPrepender(LENGTH_BYTES));
-      opened.pipeline().addLast(new Reader());
+      newChannel.pipeline().addLast(new UpdateHandler());
     }
   }
 
-  /** Notes that bytes come in: a large message on a narrow link takes longer than silence may. */
-  private final class Arrivals extends ChannelInboundHandlerAdapter {
+  /**
+   * Records the arrival of bytes rather than of whole messages, because a large message on a slow
+   * link takes longer than {@link #SILENT_NANOS}.
+   */
+  private final class ActivityRecorder extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
       lastReceivedNanos = clocks.nanos();
@@ -238,7 +249,7 @@
     }
   }
 
-  private final class Reader extends SimpleChannelInboundHandler<ByteBuf> {
+  private final class UpdateHandler extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, ByteBuf message) {
       byte[] bytes = new byte[message.readableBytes()];
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerUpdate.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerUpdate.java
@@ -8,19 +8,20 @@
 import org.magnoliaswitch.front.version.RouteTable;
 
 /**
- * One message of an instance to those that listen to it.
+ * A message from an instance to its listeners.
  *
- * @param ageMillis how long ago the sender's knowledge was confirmed by the platform; grows when it
- *     is passed on, so news that circle between instances never look fresh
- * @param instances how many instances the sender knows of, itself included
- * @param routes the sender's whole configuration when it changed since its last message, in
+ * @param ageMillis time since the platform confirmed the sender's state; it keeps growing while the
+ *     state is forwarded, so that state circulating between instances never looks fresh
+ * @param instances number of instances that the sender knows of, itself included
+ * @param routes the sender's whole configuration if it changed since its last message; only in
  *     messages to and from instances of an earlier release
- * @param servers what changed in the sender's list since its last message
+ * @param servers changes of the sender's server list since its last message
  * @param evacuations the evacuated data centres
- * @param crashes what is new about requests under which servers end
- * @param instanceIndex the listener's place among all that listen to the sender
- * @param configuration the sender's configuration; absent in messages of an earlier release. Only
- *     with a place
+ * @param crashes new crash reports, about requests that make servers crash
+ * @param instanceIndex the receiver's index among the sender and its listeners; in an update that a
+ *     listener forwards, the listener's own index
+ * @param configuration the sender's configuration; absent in messages of an earlier release, and
+ *     present only together with an index
  */
 public record PeerUpdate(
     long ageMillis,
@@ -33,7 +34,7 @@
     Optional<ConfigurationUpdate> configuration) {
   public PeerUpdate {
     if (configuration.isPresent() && instanceIndex.isEmpty()) {
-      throw new IllegalArgumentException("a configuration follows a place");
+      throw new IllegalArgumentException("a configuration requires an instance index");
     }
     crashes = List.copyOf(crashes);
   }
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerUpdateCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerUpdateCodec.java
@@ -27,26 +27,26 @@
   private PeerUpdateCodec() {}
 
   /** Encodes a message. */
-  public static byte[] encode(PeerUpdate news) {
+  public static byte[] encode(PeerUpdate update) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(PROTOCOL);
-      out.packLong(news.ageMillis());
-      out.packInt(news.instances());
-      out.packBoolean(news.routes().isPresent());
-      if (news.routes().isPresent()) {
-        RouteTableCodec.write(out, news.routes().get());
+      out.packLong(update.ageMillis());
+      out.packInt(update.instances());
+      out.packBoolean(update.routes().isPresent());
+      if (update.routes().isPresent()) {
+        RouteTableCodec.write(out, update.routes().get());
       }
-      writeServers(out, news.servers());
-      CrashReportCodec.write(out, news.crashes());
-      writeEvacuations(out, news.evacuations());
-      if (news.routes().isPresent()) {
-        RouteExtensionsCodec.write(out, news.routes().get());
+      writeServers(out, update.servers());
+      CrashReportCodec.write(out, update.crashes());
+      writeEvacuations(out, update.evacuations());
+      if (update.routes().isPresent()) {
+        RouteExtensionsCodec.write(out, update.routes().get());
       }
-      if (news.instanceIndex().isPresent()) {
-        writePlace(out, news.instanceIndex().get());
+      if (update.instanceIndex().isPresent()) {
+        writePlace(out, update.instanceIndex().get());
       }
-      if (news.configuration().isPresent()) {
-        ConfigurationUpdate configuration = news.configuration().get();
+      if (update.configuration().isPresent()) {
+        ConfigurationUpdate configuration = update.configuration().get();
         out.packLong(configuration.version());
         out.packLong(configuration.ageMillis());
         out.addPayload(RouteUpdateCodec.encode(configuration.update()));
@@ -115,7 +115,7 @@
       return new PeerUpdate(
           age, instances, routes, servers, evacuations, crashes, place, configuration);
     } catch (MessagePackException | IllegalArgumentException e) {
-      throw new IOException("malformed news", e);
+      throw new IOException("malformed update", e);
     }
   }
 
@@ -131,7 +131,7 @@
   private static Evacuations readEvacuations(MessageUnpacker in) throws IOException {
     long version = in.unpackLong();
     Set<String> dataCentres = new HashSet<>();
-    for (int left = in.unpackArrayHeader(); left > 0; left--) {
+    for (int remaining = in.unpackArrayHeader(); remaining > 0; remaining--) {
       dataCentres.add(in.unpackString());
     }
     return new Evacuations(version, dataCentres);
@@ -160,7 +160,7 @@
   private static ServerChanges readServers(MessageUnpacker in) throws IOException {
     long version = in.unpackLong();
     List<ServerEntry> changed = new ArrayList<>();
-    for (int left = in.unpackArrayHeader(); left > 0; left--) {
+    for (int remaining = in.unpackArrayHeader(); remaining > 0; remaining--) {
       changed.add(
           new ServerEntry(
               in.unpackString(),
@@ -174,7 +174,7 @@
               in.unpackLong()));
     }
     List<String> removed = new ArrayList<>();
-    for (int left = in.unpackArrayHeader(); left > 0; left--) {
+    for (int remaining = in.unpackArrayHeader(); remaining > 0; remaining--) {
       removed.add(in.unpackString());
     }
     return new ServerChanges(version, changed, removed);
--- a/front/src/main/java/org/magnoliaswitch/front/peer/RouteExtensionsCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/RouteExtensionsCodec.java
@@ -15,9 +15,9 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Writes and reads what a configuration has told since a later release: warm-ups of services and
- * regions of routes. It stands at the end of a message, where an instance of an earlier release
- * passes over it.
+ * Encodes and decodes the parts of a configuration that were added by a later release: warm-ups of
+ * services and regions of routes. They come at the end of a message, where an instance of an
+ * earlier release ignores them.
  */
 final class RouteExtensionsCodec {
   private RouteExtensionsCodec() {}
@@ -43,14 +43,14 @@
     }
   }
 
-  /** The table with what follows in the message. */
+  /** Reads the added parts and returns the table completed with them. */
   static RouteTable read(MessageUnpacker in, RouteTable table) throws IOException {
     Map<String, Warmup> warmups = new HashMap<>();
-    for (int left = in.unpackArrayHeader(); left > 0; left--) {
+    for (int remaining = in.unpackArrayHeader(); remaining > 0; remaining--) {
       warmups.put(in.unpackString(), new Warmup(in.unpackLong(), in.unpackDouble()));
     }
     Map<String, Set<String>> regions = new HashMap<>();
-    for (int left = in.unpackArrayHeader(); left > 0; left--) {
+    for (int remaining = in.unpackArrayHeader(); remaining > 0; remaining--) {
       regions.put(in.unpackString(), readRegions(in));
     }
     List<Route> routes = new ArrayList<>();
@@ -64,7 +64,7 @@
 
   private static Set<String> readRegions(MessageUnpacker in) throws IOException {
     Set<String> regions = new HashSet<>();
-    for (int left = in.unpackArrayHeader(); left > 0; left--) {
+    for (int remaining = in.unpackArrayHeader(); remaining > 0; remaining--) {
       regions.add(in.unpackString());
     }
     return regions;
--- a/front/src/main/java/org/magnoliaswitch/front/peer/RouteTableCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/RouteTableCodec.java
@@ -12,7 +12,7 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Writes and reads a configuration, but for what {@link RouteExtensionsCodec} adds. */
+/** Encodes and decodes a configuration without the parts in {@link RouteExtensionsCodec}. */
 final class RouteTableCodec {
   private RouteTableCodec() {}
 
@@ -38,11 +38,11 @@
   static RouteTable read(MessageUnpacker in) throws IOException {
     long version = in.unpackLong();
     List<Route> routes = new ArrayList<>();
-    for (int left = in.unpackArrayHeader(); left > 0; left--) {
+    for (int remaining = in.unpackArrayHeader(); remaining > 0; remaining--) {
       routes.add(readRoute(in));
     }
     List<ServicePolicy> services = new ArrayList<>();
-    for (int left = in.unpackArrayHeader(); left > 0; left--) {
+    for (int remaining = in.unpackArrayHeader(); remaining > 0; remaining--) {
       services.add(
           new ServicePolicy(
               in.unpackString(), in.unpackString(), in.unpackInt(), Warmup.UNLIMITED));
@@ -83,7 +83,7 @@
 
   private static List<WeightedService> readParts(MessageUnpacker in) throws IOException {
     List<WeightedService> parts = new ArrayList<>();
-    for (int left = in.unpackArrayHeader(); left > 0; left--) {
+    for (int remaining = in.unpackArrayHeader(); remaining > 0; remaining--) {
       parts.add(new WeightedService(in.unpackString(), in.unpackDouble()));
     }
     return parts;
--- a/front/src/main/java/org/magnoliaswitch/front/peer/RouteUpdateCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/RouteUpdateCodec.java
@@ -14,25 +14,25 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Writes and reads {@link RouteUpdate}; large ones are compressed. */
+/** Encodes and decodes {@link RouteUpdate}; large updates are compressed. */
 final class RouteUpdateCodec {
   private static final int NONE = 0;
   private static final int WHOLE = 1;
   private static final int CHANGES = 2;
 
-  /** Shorter updates fit a packet or two as they are. */
+  /** Shorter updates fit into one or two packets without compression. */
   private static final int COMPRESSED_FROM_BYTES = 2 << 10;
 
   private RouteUpdateCodec() {}
 
-  /** Encodes an update, or that there is none. */
+  /** Encodes an update or its absence. */
   static byte[] encode(Optional<RouteUpdate> update) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(update.map(RouteUpdateCodec::kind).orElse(NONE));
       if (update.isPresent()) {
         byte[] body = body(update.get());
         boolean compressed = body.length >= COMPRESSED_FROM_BYTES;
-        byte[] sent = compressed ? Compression.deflated(body) : body;
+        byte[] sent = compressed ? Compression.compress(body) : body;
         out.packBoolean(compressed);
         out.packBinaryHeader(sent.length);
         out.writePayload(sent);
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Reads an update, or that there is none; a kind of a later release is none. */
+  /** Reads an update or its absence; an unknown kind, from a later release, counts as absent. */
   static Optional<RouteUpdate> read(MessageUnpacker in) throws IOException {
     int kind = in.unpackInt();
     if (kind == NONE) {
@@ -52,11 +52,11 @@
     boolean compressed = in.unpackBoolean();
     int length = in.unpackBinaryHeader();
     if (length > Compression.MAX_BYTES) {
-      throw new IOException("an update of " + length + " bytes is too long");
+      throw new IOException("route update of " + length + " bytes exceeds the size limit");
     }
     byte[] sent = in.readPayload(length);
     try (MessageUnpacker body =
-        MessagePack.newDefaultUnpacker(compressed ? Compression.inflated(sent) : sent)) {
+        MessagePack.newDefaultUnpacker(compressed ? Compression.decompress(sent) : sent)) {
       return switch (kind) {
         case WHOLE -> Optional.of(new RouteUpdate.Whole(readTable(body)));
         case CHANGES -> Optional.of(new RouteUpdate.Changes(readChanges(body)));
@@ -91,7 +91,7 @@
     return RouteExtensionsCodec.read(in, RouteTableCodec.read(in));
   }
 
-  /** The changed part is written like a configuration that has nothing else. */
+  /** Writes the changed routes, services and limits in the format of a whole configuration. */
   private static void writeChanges(MessagePacker out, RouteChanges changes) throws IOException {
     out.packLong(changes.base());
     out.packArrayHeader(changes.removed().size());
@@ -106,7 +106,7 @@
   private static RouteChanges readChanges(MessageUnpacker in) throws IOException {
     long base = in.unpackLong();
     Set<String> removed = new HashSet<>();
-    for (int left = in.unpackArrayHeader(); left > 0; left--) {
+    for (int remaining = in.unpackArrayHeader(); remaining > 0; remaining--) {
       removed.add(in.unpackString());
     }
     RouteTable changed = readTable(in);
--- a/front/src/main/java/org/magnoliaswitch/front/peer/ServerChanges.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/ServerChanges.java
@@ -8,7 +8,7 @@
 import org.magnoliaswitch.front.version.ServerList;
 
 /**
- * What changed between two lists of backend servers, small enough to send at once.
+ * Differences between two lists of backend servers, small enough to send on every change.
  *
  * @param version version of the later list
  * @param changed entries that are new or differ
@@ -20,12 +20,12 @@
     removed = List.copyOf(removed);
   }
 
-  /** Compares two lists; how much of a warm-up is left does not count as a difference. */
+  /** Compares two lists; the remaining time of a warm-up does not count as a difference. */
   public static ServerChanges between(ServerList before, ServerList after) {
     List<ServerEntry> changed = new ArrayList<>();
     for (ServerEntry entry : after.servers().values()) {
-      ServerEntry known = before.servers().get(entry.id());
-      if (known == null || !known.equivalent(entry)) {
+      ServerEntry previous = before.servers().get(entry.id());
+      if (previous == null || !previous.equivalent(entry)) {
         changed.add(entry);
       }
     }
@@ -34,7 +34,7 @@
     return new ServerChanges(after.version(), changed, removed);
   }
 
-  /** The later list, given the earlier one. */
+  /** Applies the changes to the earlier list and returns the later one. */
   public ServerList applyTo(ServerList before) {
     Map<String, ServerEntry> servers = new HashMap<>(before.servers());
     changed.forEach(entry -> servers.put(entry.id(), entry));
--- a/front/src/main/java/org/magnoliaswitch/front/peer/StallDetector.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/StallDetector.java
@@ -2,20 +2,20 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Tells a listener that reads slowly from one that does not read; used by one thread. */
+/** Distinguishes a listener that reads slowly from one that does not read. Not thread-safe. */
 final class StallDetector {
-  /** A link that moves nothing for so long has failed, or the listener stands still. */
+  /** Without progress for this time, the link has failed or the listener has stopped reading. */
   private static final long STALLED_NANOS = TimeUnit.SECONDS.toNanos(3);
 
   private long leastUnsentBytes = Long.MAX_VALUE;
   private long progressNanos;
 
-  /** Notes that everything has left. */
+  /** Starts afresh after all pending bytes have been sent. */
   void reset() {
     leastUnsentBytes = Long.MAX_VALUE;
   }
 
-  /** Whether none of the bytes that have not left moved for too long. */
+  /** Whether the number of unsent bytes has not decreased for too long. */
   boolean stalled(long unsentBytes, long nowNanos) {
     if (unsentBytes < leastUnsentBytes) {
       leastUnsentBytes = unsentBytes;
--- a/front/src/main/java/org/magnoliaswitch/front/peer/package-info.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/package-info.java
@@ -1,4 +1,7 @@
-/** News between instances: configuration, servers and how fresh they are; TCP with MessagePack. */
+/**
+ * Exchange of state between instances: configuration, servers, crash reports and their age, as
+ * MessagePack messages over TCP.
+ */
 @NullMarked
 package org.magnoliaswitch.front.peer;
 
