--- a/front/src/main/java/org/magnoliaswitch/front/load/RateLimitShare.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/RateLimitShare.java
@@ -12,11 +12,11 @@
  * <p>Each instance gets an even part of a span's requests; instances that are drawn for the server
  * share what is left of the division. In a span of a second most would have no part.
  *
- * @param mostInSpan sends of this instance to the server in any span of {@link #SPAN_NANOS}
+ * @param maxPerWindow sends of this instance to the server in any span of {@link #WINDOW_NANOS}
  */
-public record RateLimitShare(int mostInSpan) {
+public record RateLimitShare(int maxPerWindow) {
   /** Span over which the limit is kept. */
-  public static final long SPAN_NANOS = TimeUnit.SECONDS.toNanos(4);
+  public static final long WINDOW_NANOS = TimeUnit.SECONDS.toNanos(4);
 
   private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
@@ -29,12 +29,12 @@
    * @param perSecond requests a second that the server takes from all instances
    * @param part share of the service's servers that each instance sends to
    */
-  public static RateLimitShare of(double perSecond, SenderDraw draw, double part) {
-    double planned = perSecond * SPAN_NANOS / NANOS_PER_SECOND;
-    double senders = Math.max(1, draw.sharers() * Math.min(1, PART_MARGIN * part));
+  public static RateLimitShare of(double perSecond, SenderSelection selection, double part) {
+    double planned = perSecond * WINDOW_NANOS / NANOS_PER_SECOND;
+    double senders = Math.max(1, selection.candidates() * Math.min(1, PART_MARGIN * part));
     double even = planned / senders;
     int whole = (int) even;
-    boolean oneMore = draw.drawn((even - whole) * draw.sharers());
+    boolean oneMore = selection.selected((even - whole) * selection.candidates());
     return new RateLimitShare(whole + (oneMore ? 1 : 0));
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/StateSync.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StateSync.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import org.magnoliaswitch.core.crash.CrashReport;
 import org.magnoliaswitch.core.process.CrashWatch;
-import org.magnoliaswitch.front.load.InstancePlace;
+import org.magnoliaswitch.front.load.InstanceIndex;
 import org.magnoliaswitch.front.loop.Loop;
 import org.magnoliaswitch.front.peer.ConfigurationUpdate;
 import org.magnoliaswitch.front.peer.HeldConfiguration;
@@ -45,7 +45,7 @@
   private final PeerHub hub;
   private final StatePoller reader;
   private final Map<InetSocketAddress, Integer> instancesByPeer = new HashMap<>();
-  private final Map<InetSocketAddress, InstancePlace> placesBySeed = new HashMap<>();
+  private final Map<InetSocketAddress, InstanceIndex> placesBySeed = new HashMap<>();
   private final CrashArchive archive;
   private final Map<InetSocketAddress, PeerSubscription> subscriptions = new LinkedHashMap<>();
   private final List<CrashReport> toReport = new ArrayList<>();
@@ -134,7 +134,7 @@
    */
   private void share(CrashWatch.Lesson lesson) {
     if (lesson.source() == CrashWatch.Source.OWN) {
-      archive.own(lesson.news());
+      archive.recordOwn(lesson.news());
       toReport.addAll(lesson.news());
     }
     if (toTell.isEmpty()) {
@@ -210,7 +210,7 @@
   private PeerUpdate known(long version) {
     RouteTable routes = knownState.routes();
     Optional<RouteUpdate> update =
-        version < routes.version() ? Optional.of(new RouteUpdate.Whole(routes)) : Optional.empty();
+        version < routes.version() ? Optional.of(new RouteUpdate.Full(routes)) : Optional.empty();
     return new PeerUpdate(
         reader.ageMillis(),
         environment.instances().count(),
@@ -271,15 +271,15 @@
     return seeds.get(start);
   }
 
-  private void placed(InstancePlace place) {
-    Optional<Integer> before = environment.instances().place().map(InstancePlace::index);
+  private void placed(InstanceIndex place) {
+    Optional<Integer> before = environment.instances().place().map(InstanceIndex::index);
     environment.instances().placed(place);
     if (!before.equals(Optional.of(place.index()))) {
       environment
           .log()
           .stateChange("placed")
           .add("index", place.index())
-          .add("places", place.places())
+          .add("places", place.count())
           .write();
     }
   }
@@ -288,7 +288,7 @@
    * The place that the first seed gives which is heard, so that all instances have theirs from the
    * same one. A seed has its own among its listeners.
    */
-  private Optional<InstancePlace> firstPlace() {
+  private Optional<InstanceIndex> firstPlace() {
     for (InetSocketAddress seed : environment.settings().seeds()) {
       if (seed.equals(environment.settings().peers())) {
         return Optional.of(hub.ownIndex());
@@ -308,7 +308,7 @@
       most = Math.max(most, count);
     }
     if (most > 1) {
-      environment.instances().learnt(most);
+      environment.instances().update(most);
     }
     firstPlace().ifPresent(this::placed);
   }
--- a/front/src/test/java/org/magnoliaswitch/front/load/AdmissionLimitTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/AdmissionLimitTest.java
@@ -14,14 +14,14 @@
   private static ServiceLoad service(int meanHeld) {
     ServiceLoad load = new ServiceLoad();
     for (int i = 0; i < 200; i++) {
-      load.sampled(new LoadSample(meanHeld, 0, Servers.SLOTS, 1));
+      load.recordSample(new LoadSample(meanHeld, 0, Servers.SLOTS, 1));
     }
     return load;
   }
 
   private static boolean hasRoom(
       ServerState server, ServiceLoad service, Timeliness timeliness, long nowNanos) {
-    return AdmissionLimit.hasRoom(server, Servers.context(timeliness, service, nowNanos));
+    return AdmissionLimit.hasCapacity(server, Servers.context(timeliness, service, nowNanos));
   }
 
   @DataProvider
@@ -65,16 +65,16 @@
   public void aServerNotHeardOfYetGetsOneRequestAtATime() {
     ServerState server = new ServerState(Servers.entry("a", false), NOW);
     assertEquals(hasRoom(server, service(0), Timeliness.IN_TIME, NOW), true);
-    server.sent();
+    server.requestStarted();
     assertEquals(hasRoom(server, service(0), Timeliness.IN_TIME, NOW), false);
   }
 
   @Test
   public void aServiceThatTellsNoLoadAlwaysHasRoom() {
     ServerState server = new ServerState(Servers.entry("a", false), NOW);
-    server.sent();
+    server.requestStarted();
     ServiceLoad silent = new ServiceLoad();
-    silent.toldNothing();
+    silent.markNotReporting();
     assertEquals(hasRoom(server, silent, Timeliness.LATE, NOW), true);
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/peer/PeerUpdateCodecTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/PeerUpdateCodecTest.java
@@ -14,7 +14,7 @@
 import org.magnoliaswitch.core.crash.CrashReport;
 import org.magnoliaswitch.core.crash.RequestIdentity;
 import org.magnoliaswitch.core.peer.CrashReportCodec;
-import org.magnoliaswitch.front.load.InstancePlace;
+import org.magnoliaswitch.front.load.InstanceIndex;
 import org.magnoliaswitch.front.testing.CorruptedMessages;
 import org.magnoliaswitch.front.testing.Servers;
 import org.magnoliaswitch.front.version.CallerLimits;
@@ -33,9 +33,9 @@
   private static final RequestIdentity REQUEST = new RequestIdentity(1, -2);
   private static final List<CrashReport> REPORTS =
       List.of(
-          new CrashReport.Ended(REQUEST, "i@7", true),
+          new CrashReport.Crashed(REQUEST, "i@7", true),
           new CrashReport.Cleared(REQUEST, Set.of("i@7", "j@0"), 2),
-          new CrashReport.Tried(REQUEST, 3));
+          new CrashReport.TrialStarted(REQUEST, 3));
   private static final PeerUpdate NEWS =
       new PeerUpdate(
           17,
@@ -60,7 +60,7 @@
           new ServerChanges(9, List.of(Servers.entry("i", true)), List.of("j")),
           new Evacuations(8, Set.of("x", "y")),
           REPORTS,
-          Optional.of(new InstancePlace(2, 5)),
+          Optional.of(new InstanceIndex(2, 5)),
           Optional.empty());
 
   @Test
@@ -91,7 +91,7 @@
     PeerUpdate earlier = PeerUpdateCodec.decode(Arrays.copyOf(all, start + reports.length));
     assertEquals(earlier.crashes(), REPORTS);
     assertFalse(earlier.evacuations().known());
-    byte[] later = CrashReportCodec.encode(List.of(new CrashReport.Tried(REQUEST, 3)));
+    byte[] later = CrashReportCodec.encode(List.of(new CrashReport.TrialStarted(REQUEST, 3)));
     int kind = 3;
     assertEquals(later[kind], 3);
     later[kind] = 99;
@@ -141,7 +141,7 @@
             List.of(),
             Optional.empty(),
             Optional.empty());
-    InstancePlace place = new InstancePlace(3, 97);
+    InstanceIndex place = new InstanceIndex(3, 97);
     byte[] message = PeerUpdateCodec.encode(shared);
     byte[] end = PeerUpdateCodec.encodeEnd(place, 7, 0);
     byte[] update = RouteUpdateCodec.encode(Optional.empty());
--- a/front/src/test/java/org/magnoliaswitch/front/peer/RouteUpdateCodecTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/RouteUpdateCodecTest.java
@@ -12,7 +12,7 @@
 import org.magnoliaswitch.core.crash.CrashReport;
 import org.magnoliaswitch.core.crash.RequestIdentity;
 import org.magnoliaswitch.core.peer.CrashReportCodec;
-import org.magnoliaswitch.front.load.InstancePlace;
+import org.magnoliaswitch.front.load.InstanceIndex;
 import org.magnoliaswitch.front.testing.CorruptedMessages;
 import org.magnoliaswitch.front.version.CallerLimits;
 import org.magnoliaswitch.front.version.Evacuations;
@@ -53,7 +53,7 @@
         ServerChanges.between(ServerList.EMPTY, ServerList.EMPTY),
         Evacuations.UNKNOWN,
         List.of(),
-        Optional.of(new InstancePlace(0, 1)),
+        Optional.of(new InstanceIndex(0, 1)),
         Optional.of(new ConfigurationUpdate(update.version(), 12, Optional.of(update))));
   }
 
@@ -81,7 +81,7 @@
       routes.add(route("r" + Integer.toHexString(i * 0x9E3779B9)));
     }
     RouteTable table = new RouteTable(9, routes, SERVICES, CallerLimits.DEFAULT);
-    RouteUpdate whole = new RouteUpdate.Whole(table);
+    RouteUpdate whole = new RouteUpdate.Full(table);
     RouteTable read = roundTrip(whole).applyTo(RouteTable.EMPTY).orElseThrow();
     assertEquals(new HashSet<>(read.routes()), new HashSet<>(routes));
     assertEquals(List.copyOf(read.services()), SERVICES);
@@ -95,14 +95,14 @@
       routes.add(route("r" + i));
     }
     RouteTable table = new RouteTable(9, routes, SERVICES, CallerLimits.DEFAULT);
-    byte[] good = PeerUpdateCodec.encode(news(new RouteUpdate.Whole(table)));
+    byte[] good = PeerUpdateCodec.encode(news(new RouteUpdate.Full(table)));
     CorruptedMessages.assertDecodedOrRejected(good, 8, PeerUpdateCodec::decode);
   }
 
   /** What a listener tells. */
   public static final class OfListeners {
     private static final List<CrashReport> REPORTS =
-        List.of(new CrashReport.Tried(new RequestIdentity(1, -2), 3));
+        List.of(new CrashReport.TrialStarted(new RequestIdentity(1, -2), 3));
     private static final ListenerUpdate NEWS =
         new ListenerUpdate(
             REPORTS,
--- a/front/src/test/java/org/magnoliaswitch/front/process/ServerQuotasTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/ServerQuotasTest.java
@@ -7,7 +7,7 @@
 import java.util.OptionalDouble;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
-import org.magnoliaswitch.front.load.InstancePlace;
+import org.magnoliaswitch.front.load.InstanceIndex;
 import org.magnoliaswitch.front.load.ServerNotice;
 import org.magnoliaswitch.front.load.ServerState;
 import org.magnoliaswitch.front.testing.ManualClock;
@@ -17,7 +17,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What one instance sends to servers that ask for fewer requests. */
+/** Tests how many requests one instance sends to servers that ask for fewer. */
 public final class ServerQuotasTest {
   private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
   private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
@@ -30,9 +30,9 @@
   private ServerQuotas quotas;
   private ServerState server;
 
-  /** Two instances, both of which send to all servers. */
+  /** Sets up two instances that both send to all servers. */
   @BeforeMethod
-  public void start() {
+  public void createQuotas() {
     time = new ManualClock();
     instances = new InstanceCount(2, time.clocks());
     FrontSettings settings = TestEnvironment.settings();
@@ -44,14 +44,14 @@
 
   private void limit(double perSecond) {
     ServerNotice notice = new ServerNotice(false, OptionalDouble.of(perSecond), 0);
-    server.backpressure().answered(notice, time.read(), time.read());
+    server.backpressure().recordAnswer(notice, time.read(), time.read());
   }
 
   private int sendAll(long spanNanos) {
     int sent = 0;
     for (long passed = 0; passed < spanNanos; passed += MILLI) {
       if (quotas.allowed(server)) {
-        server.written(time.read());
+        server.recordWrite(time.read());
         sent++;
       }
       time.advance(MILLI);
@@ -59,38 +59,41 @@
     return sent;
   }
 
-  /** Guards against an overloaded server that gets all that callers have for it. */
+  /**
+   * Guards against an overloaded server that receives all requests of callers in spite of its
+   * limit.
+   */
   @Test
-  public void aLimitedServerGetsTheShareOfASpan() {
+  public void limitedServerReceivesShareOfSpan() {
     time.advance(SETTLED);
     limit(3);
     assertEquals(sendAll(4 * SECOND), 6);
     assertEquals(sendAll(4 * SECOND), 6);
   }
 
-  /** Guards against a burst at the moment in which the limit becomes known. */
+  /** Guards against a burst when the limit becomes known. */
   @Test
-  public void whatWasSentBeforeTheLimitCounts() {
+  public void requestsSentBeforeLimitCount() {
     time.advance(SETTLED);
     for (int i = 0; i < 5; i++) {
-      server.written(time.read());
+      server.recordWrite(time.read());
     }
     limit(3);
     assertEquals(sendAll(4 * SECOND), 1);
   }
 
   @Test
-  public void onceTheLimitHasEndedTheServerGetsAll() {
+  public void serverReceivesAllRequestsAfterLimitIsLifted() {
     time.advance(SETTLED);
     limit(3);
     time.advance(SECOND);
-    server.backpressure().answered(ServerNotice.NONE, time.read(), time.read());
+    server.backpressure().recordAnswer(ServerNotice.NONE, time.read(), time.read());
     assertEquals(sendAll(SECOND), SECOND / MILLI);
   }
 
-  /** Guards against shares that are too large while an instance knows of few others. */
+  /** Guards against shares that are too large while an instance knows only a few others. */
   @Test
-  public void rightAfterTheStartALimitedServerGetsNothing() {
+  public void limitedServerReceivesNothingRightAfterStart() {
     limit(3);
     assertFalse(quotas.allowed(server));
     assertTrue(quotas.waitNanos(server) > 0);
@@ -98,19 +101,24 @@
     assertTrue(quotas.allowed(server));
   }
 
-  /** Guards against callers that wait for a server which takes nothing before they have left. */
+  /**
+   * Guards against queueing requests for a server that accepts nothing before their callers give
+   * up.
+   */
   @Test
-  public void tellsWhenTheServerTakesARequestAgain() {
+  public void returnsTimeUntilServerAcceptsRequest() {
     time.advance(SETTLED);
     limit(0.5);
     assertEquals(sendAll(SECOND), 1);
     assertTrue(quotas.waitNanos(server) > 2 * SECOND);
   }
 
-  /** Guards against an instance without a share that never hears that the limit has ended. */
+  /**
+   * Guards against an instance without a share that never notices that the limit has been lifted.
+   */
   @Test
-  public void aLimitNotHeardOfForLongIsPutToTheTest() {
-    instances.learnt(100);
+  public void unconfirmedLimitIsTestedWithOneRequest() {
+    instances.update(100);
     instances.placed(placeWithoutShare());
     time.advance(SETTLED);
     limit(0.5);
@@ -120,12 +128,12 @@
 
   private void pause(long nanos) {
     ServerNotice notice = new ServerNotice(false, OptionalDouble.empty(), nanos);
-    server.backpressure().answered(notice, time.read(), time.read());
+    server.backpressure().recordAnswer(notice, time.read(), time.read());
   }
 
-  /** Guards against requests at a server that asked for a pause. */
+  /** Guards against requests to a server that has asked for a pause. */
   @Test
-  public void aServerGetsNothingDuringItsPause() {
+  public void serverReceivesNothingDuringPause() {
     time.advance(SETTLED);
     pause(3 * SECOND);
     assertEquals(quotas.waitNanos(server), 3 * SECOND);
@@ -133,21 +141,21 @@
     assertTrue(quotas.allowed(server));
   }
 
-  /** Guards against a pause that is cut short by the answer to a request under way. */
+  /** Guards against a pause that is shortened by the response to a request in progress. */
   @Test
-  public void theLongestPauseCounts() {
+  public void longestPauseCounts() {
     time.advance(SETTLED);
     pause(3 * SECOND);
     time.advance(SECOND);
     pause(SECOND);
-    server.backpressure().answered(ServerNotice.NONE, time.read(), time.read());
+    server.backpressure().recordAnswer(ServerNotice.NONE, time.read(), time.read());
     assertEquals(quotas.waitNanos(server), 2 * SECOND);
   }
 
-  private InstancePlace placeWithoutShare() {
+  private InstanceIndex placeWithoutShare() {
     for (int index = 0; index < 100; index++) {
-      InstancePlace place = new InstancePlace(index, 100);
-      if (!place.drawn(server.entry().incarnation(), 3)) {
+      InstanceIndex place = new InstanceIndex(index, 100);
+      if (!place.selected(server.entry().incarnation(), 3)) {
         return place;
       }
     }
