--- a/front/src/main/java/org/magnoliaswitch/front/peer/ListenerUpdateCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/ListenerUpdateCodec.java
@@ -74,7 +74,7 @@
     long lastUpdate = in.unpackLong();
     int delivery = in.unpackInt();
     if (delivery < 0 || delivery >= DELIVERIES.size()) {
-      throw new IOException("unknown delivery code " + delivery);
+      throw new IOException("delivery code " + delivery + " is unknown");
     }
     return new HeldConfiguration(version, lastUpdate, DELIVERIES.get(delivery));
   }
--- a/front/src/main/java/org/magnoliaswitch/front/peer/MessageCache.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/MessageCache.java
@@ -19,8 +19,8 @@
  * each of them. Not thread-safe.
  */
 final class MessageCache {
-  /** Cache key for all versions whose changes are unknown, which need the whole configuration. */
-  private static final long WHOLE_CONFIGURATION = 0;
+  /** Cache key for all versions whose changes are unknown, which need the full configuration. */
+  private static final long FULL_CONFIGURATION = 0;
 
   private final RouteHistory history = new RouteHistory();
   private final Map<Long, byte[]> updatesByBase = new HashMap<>();
@@ -54,7 +54,7 @@
   byte[] update(RouteTable routes, long held) {
     recordInForce(routes);
     RouteUpdate update = history.since(held);
-    long base = update instanceof RouteUpdate.Changes ? held : WHOLE_CONFIGURATION;
+    long base = update instanceof RouteUpdate.Changes ? held : FULL_CONFIGURATION;
     return updatesByBase.computeIfAbsent(
         base, unused -> RouteUpdateCodec.encode(Optional.of(update)));
   }
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerHub.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerHub.java
@@ -36,38 +36,38 @@
 import org.magnoliaswitch.front.version.ServerList;
 
 /**
- * Tells other instances what this one knows: at once when it changes, and at short intervals so
- * that they know how fresh it is. A listener whose link is busy is told less often, not more. Runs
- * on the control loop.
+ * Publishes the state of this instance to its listeners: on every change, and at short intervals so
+ * that they know its age. A listener whose link is congested receives fewer messages rather than a
+ * growing backlog. Runs on the control loop.
  */
 public final class PeerHub {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** Listeners that hear nothing for a few of these look elsewhere. */
+  /** Listeners that receive nothing for a few intervals close the connection and reconnect. */
   private static final long HEARTBEAT_MILLIS = 400;
 
-  /** A listener that has not said by then what it holds is of an earlier release. */
-  private static final long GREETING_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+  /** A listener that has not reported what it holds by then runs an earlier release. */
+  private static final long ACKNOWLEDGEMENT_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
-  /** More than any version: nothing newer is told. */
-  private static final long ALL_VERSIONS = Long.MAX_VALUE;
+  /** Above any version, so that a message never contains the whole configuration. */
+  private static final long NEVER_OUTDATED = Long.MAX_VALUE;
 
   private static final int LENGTH_BYTES = 4;
-  private static final int OWN_PLACE = 0;
+  private static final int OWN_INDEX = 0;
   private static final byte[] NO_UPDATE = RouteUpdateCodec.encode(Optional.empty());
 
-  /** Longest message of a listener: as long as one of this instance may be. */
+  /** Size limit of a listener's message, which may forward as much as this instance may send. */
   private static final int MAX_LISTENER_BYTES = PeerSubscription.MAX_MESSAGE_BYTES;
 
   /**
-   * What this instance knows now.
+   * The state of this instance at one moment.
    *
-   * @param ageMillis how long ago the oldest part of it was confirmed
-   * @param routesAgeMillis how long ago the configuration and the evacuations were
+   * @param ageMillis time since the oldest part of the state was confirmed
+   * @param routesAgeMillis time since the configuration and the evacuations were confirmed
    * @param routes configuration in force
    * @param evacuations the evacuated data centres
    * @param servers servers in force
-   * @param crashes requests under which servers end
+   * @param crashes reports about requests that make servers crash
    */
   public record Snapshot(
       long ageMillis,
@@ -79,38 +79,38 @@
 
   private final Loop loop;
   private final Clocks clocks;
-  private final Supplier<Snapshot> snapshot;
-  private final Consumer<List<CrashReport>> reported;
-  private final Consumer<PeerUpdate> forwarded;
+  private final Supplier<Snapshot> currentState;
+  private final Consumer<List<CrashReport>> crashReportHandler;
+  private final Consumer<PeerUpdate> forwardedUpdateHandler;
   private final Set<Listener> listeners = new HashSet<>();
-  private final BitSet taken = new BitSet();
+  private final BitSet usedIndexes = new BitSet();
   private final LongAdder bytesSent = new LongAdder();
   private final LongAdder listenersDropped = new LongAdder();
   private final MessageCache messages = new MessageCache();
   private volatile long listenersBehind;
 
   /**
-   * Creates one that nobody listens to yet.
+   * Creates a hub without listeners.
    *
-   * @param snapshot what listeners are told
-   * @param reported takes what they report
-   * @param forwarded takes what one of them has read itself
+   * @param currentState supplies the state to publish
+   * @param crashReportHandler receives the crash reports of listeners
+   * @param forwardedUpdateHandler receives state that a listener has read from the platform itself
    */
   public PeerHub(
       Loop loop,
       Clocks clocks,
-      Supplier<Snapshot> snapshot,
-      Consumer<List<CrashReport>> reported,
-      Consumer<PeerUpdate> forwarded) {
+      Supplier<Snapshot> currentState,
+      Consumer<List<CrashReport>> crashReportHandler,
+      Consumer<PeerUpdate> forwardedUpdateHandler) {
     this.loop = loop;
     this.clocks = clocks;
-    this.snapshot = snapshot;
-    this.reported = reported;
-    this.forwarded = forwarded;
-    taken.set(OWN_PLACE);
+    this.currentState = currentState;
+    this.crashReportHandler = crashReportHandler;
+    this.forwardedUpdateHandler = forwardedUpdateHandler;
+    usedIndexes.set(OWN_INDEX);
   }
 
-  /** Binds the address that others listen at. */
+  /** Binds the address that listeners connect to, and starts the heartbeat. */
   public void bind(InetSocketAddress address) {
     new ServerBootstrap()
         .group(loop.events())
@@ -123,47 +123,47 @@
     loop.everyMillis(HEARTBEAT_MILLIS, this::publish);
   }
 
-  /** Instances that listen, and this one. */
+  /** Number of instances: the listeners and this one. */
   public int instances() {
     return listeners.size() + 1;
   }
 
-  /** Bytes told to all listeners since the start. */
+  /** Bytes sent to all listeners since the start. */
   public long bytesSent() {
     return bytesSent.sum();
   }
 
-  /** Listeners that were disconnected because they did not read, since the start. */
+  /** Number of listeners disconnected since the start because they did not read. */
   public long listenersDropped() {
     return listenersDropped.sum();
   }
 
-  /** This instance's own place among those that listen to it. */
+  /** Index of this instance among itself and its listeners. */
   public InstanceIndex ownIndex() {
-    return placeAt(OWN_PLACE);
+    return instanceIndex(OWN_INDEX);
   }
 
-  private InstanceIndex placeAt(int index) {
-    return new InstanceIndex(index, taken.length());
+  private InstanceIndex instanceIndex(int index) {
+    return new InstanceIndex(index, usedIndexes.length());
   }
 
-  /** Tells everyone now. */
+  /** Publishes the current state to all listeners. */
   public void publish() {
     publish(List.of());
   }
 
-  /** Tells everyone now, and what is new about requests under which servers end. */
+  /** Publishes the current state and new crash reports to all listeners. */
   public void publish(List<CrashReport> crashes) {
-    Snapshot now = snapshot.get();
-    messages.recordInForce(now.routes());
+    Snapshot current = currentState.get();
+    messages.recordInForce(current.routes());
     listeners.stream()
         .sorted(Comparator.comparingInt(listener -> listener.updates.sendOrder()))
         .toList()
-        .forEach(listener -> listener.send(now, crashes));
+        .forEach(listener -> listener.send(current, crashes));
     listenersBehind = listeners.stream().filter(listener -> listener.updates.behind()).count();
   }
 
-  /** Listeners that lacked the configuration in force here when all were told last. */
+  /** Number of listeners whose configuration was outdated at the last publication. */
   public long listenersBehind() {
     return listenersBehind;
   }
@@ -181,18 +181,18 @@
     }
   }
 
-  /** An instance that listens, and what it has been told. */
+  /** A listening instance and what it was sent. */
   private final class Listener extends SimpleChannelInboundHandler<ByteBuf> {
     private final Channel channel;
     private final UpdateFlowControl updates = new UpdateFlowControl();
-    private final StallDetector stall = new StallDetector();
-    private final long sinceNanos = clocks.nanos();
-    private int place = OWN_PLACE;
-    private ServerList toldServers = ServerList.EMPTY;
-    private boolean missedReports = true;
+    private final StallDetector stallDetector = new StallDetector();
+    private final long connectedNanos = clocks.nanos();
+    private int index = OWN_INDEX;
+    private ServerList sentServers = ServerList.EMPTY;
+    private boolean reportsSkipped = true;
 
-    /** What was told to a listener of an earlier release. */
-    private long toldRoutes;
+    /** Configuration version that was sent to a listener of an earlier release. */
+    private long sentRoutesVersion;
 
     Listener(Channel channel) {
       this.channel = channel;
@@ -201,10 +201,10 @@
     @Override
     public void channelActive(ChannelHandlerContext context) {
       listeners.add(this);
-      // The lowest free one: who starts again takes the place that was left.
-      place = taken.nextClearBit(OWN_PLACE);
-      taken.set(place);
-      send(snapshot.get(), List.of());
+      // The lowest free index, so that a restarted instance reuses the one that it gave up.
+      index = usedIndexes.nextClearBit(OWN_INDEX);
+      usedIndexes.set(index);
+      send(currentState.get(), List.of());
     }
 
     @Override
@@ -212,13 +212,13 @@
       byte[] bytes = new byte[message.readableBytes()];
       message.readBytes(bytes);
       try {
-        ListenerUpdate news = ListenerUpdateCodec.decode(bytes);
-        if (news.held().isPresent()) {
-          updates.acknowledged(news.held().get(), clocks.nanos());
+        ListenerUpdate update = ListenerUpdateCodec.decode(bytes);
+        if (update.held().isPresent()) {
+          updates.acknowledged(update.held().get(), clocks.nanos());
           sendIfBehind();
         }
-        reported.accept(news.crashes());
-        news.forwarded().ifPresent(forwarded);
+        crashReportHandler.accept(update.crashes());
+        update.forwarded().ifPresent(forwardedUpdateHandler);
       } catch (IOException e) {
         logger.atWarning().withCause(e).log(
             "event=peer_report_malformed peer=%s", channel.remoteAddress());
@@ -227,23 +227,23 @@
     }
 
     private void sendIfBehind() {
-      Snapshot now = snapshot.get();
-      if (updates.heldVersion() < now.routes().version()) {
-        send(now, List.of());
+      Snapshot current = currentState.get();
+      if (updates.heldVersion() < current.routes().version()) {
+        send(current, List.of());
       }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
       if (channel.isActive() && channel.isWritable()) {
-        send(snapshot.get(), List.of());
+        send(currentState.get(), List.of());
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
       if (listeners.remove(this)) {
-        taken.clear(place);
+        usedIndexes.clear(index);
       }
     }
 
@@ -252,38 +252,47 @@
       Channels.close(context);
     }
 
-    void send(Snapshot now, List<CrashReport> crashes) {
+    void send(Snapshot current, List<CrashReport> crashes) {
       if (!channel.isWritable()) {
-        missedReports |= !crashes.isEmpty();
+        reportsSkipped |= !crashes.isEmpty();
         closeIfStalled();
         return;
       }
-      stall.reset();
-      List<CrashReport> reports = missedReports ? now.crashes().reports() : crashes;
-      missedReports = false;
-      long version = now.routes().version();
+      stallDetector.reset();
+      List<CrashReport> reports = reportsSkipped ? current.crashes().reports() : crashes;
+      reportsSkipped = false;
+      long version = current.routes().version();
       boolean earlierRelease =
-          !updates.hasAcknowledged() && clocks.nanos() - sinceNanos >= GREETING_NANOS;
+          !updates.hasAcknowledged()
+              && clocks.nanos() - connectedNanos >= ACKNOWLEDGEMENT_TIMEOUT_NANOS;
       byte[] message =
           messages.message(
-              now, instances(), toldServers, earlierRelease ? toldRoutes : ALL_VERSIONS, reports);
+              current,
+              instances(),
+              sentServers,
+              earlierRelease ? sentRoutesVersion : NEVER_OUTDATED,
+              reports);
       if (earlierRelease) {
-        toldRoutes = Math.max(toldRoutes, version);
+        sentRoutesVersion = Math.max(sentRoutesVersion, version);
       }
-      toldServers = now.servers();
-      byte[] end = PeerUpdateCodec.encodeEnd(placeAt(place), version, now.routesAgeMillis());
+      sentServers = current.servers();
+      byte[] tail =
+          PeerUpdateCodec.encodeTail(instanceIndex(index), version, current.routesAgeMillis());
       byte[] update =
           updates.startUpdate(version, clocks.nanos())
-              ? messages.update(now.routes(), updates.heldVersion())
+              ? messages.update(current.routes(), updates.heldVersion())
               : NO_UPDATE;
-      bytesSent.add(message.length + end.length + update.length);
-      Channels.write(channel, Unpooled.wrappedBuffer(message, end, update));
+      bytesSent.add(message.length + tail.length + update.length);
+      Channels.write(channel, Unpooled.wrappedBuffer(message, tail, update));
     }
 
-    /** What waits for it is bounded, since nothing is added while it is not writable. */
+    /**
+     * Disconnects a listener that does not read. Its pending bytes are bounded, because nothing is
+     * written while the channel is not writable.
+     */
     private void closeIfStalled() {
       long unsent = channel.bytesBeforeWritable();
-      if (stall.stalled(unsent, clocks.nanos())) {
+      if (stallDetector.stalled(unsent, clocks.nanos())) {
         listenersDropped.increment();
         logger.atInfo().log(
             "event=listener_dropped peer=%s unsent_bytes=%d held_version=%d",
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerUpdateCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerUpdateCodec.java
@@ -19,9 +19,12 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Writes and reads {@link PeerUpdate} as MessagePack; fields stand in the order of the records. */
+/**
+ * Encodes and decodes {@link PeerUpdate} as MessagePack. Fields that a later release added come
+ * last, where an earlier release ignores them.
+ */
 public final class PeerUpdateCodec {
-  /** First field of each message; another number is another protocol and refused. */
+  /** Protocol version, the first field of each message; other versions are rejected. */
   private static final int PROTOCOL = 2;
 
   private PeerUpdateCodec() {}
@@ -43,7 +46,7 @@
         RouteExtensionsCodec.write(out, update.routes().get());
       }
       if (update.instanceIndex().isPresent()) {
-        writePlace(out, update.instanceIndex().get());
+        writeIndex(out, update.instanceIndex().get());
       }
       if (update.configuration().isPresent()) {
         ConfigurationUpdate configuration = update.configuration().get();
@@ -58,15 +61,15 @@
   }
 
   /**
-   * Encodes the end of a message without a place, up to its {@link RouteUpdate}: all listeners get
-   * the same message, but each has a place of its own and lacks something else.
+   * Encodes the tail of a message that was encoded without an index, up to its {@link RouteUpdate}.
+   * Listeners share the encoded message, but each has its own index and needs its own update.
    *
-   * @param version version of the configuration in force here
-   * @param ageMillis how long ago that was known to be the newest
+   * @param version version of the configuration in force at this instance
+   * @param ageMillis time since this version was confirmed to be the newest
    */
-  static byte[] encodeEnd(InstanceIndex place, long version, long ageMillis) {
+  static byte[] encodeTail(InstanceIndex index, long version, long ageMillis) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-      writePlace(out, place);
+      writeIndex(out, index);
       out.packLong(version);
       out.packLong(ageMillis);
       return out.toByteArray();
@@ -81,39 +84,43 @@
     return new ConfigurationUpdate(version, age, RouteUpdateCodec.read(in));
   }
 
-  private static void writePlace(MessagePacker out, InstanceIndex place) throws IOException {
-    out.packInt(place.index());
-    out.packInt(place.count());
+  private static void writeIndex(MessagePacker out, InstanceIndex index) throws IOException {
+    out.packInt(index.index());
+    out.packInt(index.count());
   }
 
-  private static InstanceIndex readPlace(MessageUnpacker in) throws IOException {
+  private static InstanceIndex readIndex(MessageUnpacker in) throws IOException {
     int index = in.unpackInt();
     return new InstanceIndex(index, in.unpackInt());
   }
 
-  /** Decodes a message; anything malformed is an {@link IOException}. */
+  /**
+   * Decodes a message.
+   *
+   * @throws IOException if the message is malformed
+   */
   public static PeerUpdate decode(byte[] bytes) throws IOException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       int protocol = in.unpackInt();
       if (protocol != PROTOCOL) {
-        throw new IOException("protocol " + protocol + " is not known");
+        throw new IOException("protocol version " + protocol + " is not supported");
       }
       long age = in.unpackLong();
       int instances = in.unpackInt();
       Optional<RouteTable> routes =
           in.unpackBoolean() ? Optional.of(RouteTableCodec.read(in)) : Optional.empty();
       ServerChanges servers = readServers(in);
-      // Instances of an earlier release write nothing more, and pass over what they do not know.
+      // Instances of an earlier release write nothing more, and ignore fields that they don't know.
       List<CrashReport> crashes = in.hasNext() ? CrashReportCodec.read(in) : List.of();
       Evacuations evacuations = in.hasNext() ? readEvacuations(in) : Evacuations.UNKNOWN;
       if (routes.isPresent() && in.hasNext()) {
         routes = Optional.of(RouteExtensionsCodec.read(in, routes.get()));
       }
-      Optional<InstanceIndex> place = in.hasNext() ? Optional.of(readPlace(in)) : Optional.empty();
+      Optional<InstanceIndex> index = in.hasNext() ? Optional.of(readIndex(in)) : Optional.empty();
       Optional<ConfigurationUpdate> configuration =
           in.hasNext() ? Optional.of(readConfiguration(in)) : Optional.empty();
       return new PeerUpdate(
-          age, instances, routes, servers, evacuations, crashes, place, configuration);
+          age, instances, routes, servers, evacuations, crashes, index, configuration);
     } catch (MessagePackException | IllegalArgumentException e) {
       throw new IOException("malformed update", e);
     }
--- a/front/src/main/java/org/magnoliaswitch/front/peer/RouteUpdateCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/RouteUpdateCodec.java
@@ -17,7 +17,7 @@
 /** Encodes and decodes {@link RouteUpdate}; large updates are compressed. */
 final class RouteUpdateCodec {
   private static final int NONE = 0;
-  private static final int WHOLE = 1;
+  private static final int FULL = 1;
   private static final int CHANGES = 2;
 
   /** Shorter updates fit into one or two packets without compression. */
@@ -58,7 +58,7 @@
     try (MessageUnpacker body =
         MessagePack.newDefaultUnpacker(compressed ? Compression.decompress(sent) : sent)) {
       return switch (kind) {
-        case WHOLE -> Optional.of(new RouteUpdate.Full(readTable(body)));
+        case FULL -> Optional.of(new RouteUpdate.Full(readTable(body)));
         case CHANGES -> Optional.of(new RouteUpdate.Changes(readChanges(body)));
         default -> Optional.empty();
       };
@@ -67,7 +67,7 @@
 
   private static int kind(RouteUpdate update) {
     return switch (update) {
-      case RouteUpdate.Full full -> WHOLE;
+      case RouteUpdate.Full full -> FULL;
       case RouteUpdate.Changes changes -> CHANGES;
     };
   }
--- a/front/src/test/java/org/magnoliaswitch/front/load/PlacementTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/PlacementTest.java
@@ -164,7 +164,8 @@
      */
     @Test
     public void alsoWhereNothingSeemsToBeInTime() {
-      assertTrue(Placement.expectedInTime(Servers.reporting("a", 0, 1, NOW), allowed(3_000, 1_200)));
+      assertTrue(
+          Placement.expectedInTime(Servers.reporting("a", 0, 1, NOW), allowed(3_000, 1_200)));
     }
   }
 
--- a/front/src/test/java/org/magnoliaswitch/front/load/RateLimitShareTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/RateLimitShareTest.java
@@ -102,7 +102,8 @@
     private static final long CALM_NANOS = TimeUnit.SECONDS.toNanos(60);
 
     /** Each instance holds a bucket of one request that fills at an even part of the limit. */
-    private record Buckets(List<TokenBucket> buckets, double perSecond) implements Bursts.SendPolicy {
+    private record Buckets(List<TokenBucket> buckets, double perSecond)
+        implements Bursts.SendPolicy {
       static Buckets of(int instances, double perSecond) {
         List<TokenBucket> buckets = new ArrayList<>();
         for (int i = 0; i < instances; i++) {
--- a/front/src/test/java/org/magnoliaswitch/front/peer/PeerHubTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/PeerHubTest.java
@@ -27,18 +27,18 @@
 import org.magnoliaswitch.front.version.WeightedService;
 import org.testng.annotations.Test;
 
-/** What listeners get of an instance's configuration. */
+/** Tests which configuration updates a hub sends to its listeners. */
 public final class PeerHubTest {
   private static final int ROUTES = 30_000;
 
-  /** An instance whose configuration a test sets. */
-  private static final class Hub implements AutoCloseable {
+  /** A hub of an instance whose configuration the test sets. */
+  private static final class TestHub implements AutoCloseable {
     private final AtomicReference<RouteTable> routes = new AtomicReference<>(RouteTable.EMPTY);
     private final Loop loop = Loop.start();
     private final InetSocketAddress address;
     private final PeerHub hub;
 
-    Hub(RouteTable first) throws IOException {
+    TestHub(RouteTable first) throws IOException {
       routes.set(first);
       try (ServerSocket socket = new ServerSocket(0)) {
         address = new InetSocketAddress("127.0.0.1", socket.getLocalPort());
@@ -56,12 +56,12 @@
                       ServerList.EMPTY,
                       new CrashWatch(Clocks.system()).table()),
               reports -> {},
-              read -> {});
+              updates -> {});
       hub.bind(address);
     }
 
-    void configure(RouteTable next) {
-      routes.set(next);
+    void configure(RouteTable table) {
+      routes.set(table);
       loop.execute(hub::publish);
     }
 
@@ -71,20 +71,20 @@
     }
   }
 
-  /** A listener that reads and writes messages when a test says so. */
-  private static final class RawListener implements AutoCloseable {
+  /** A listener that reads and writes messages only when the test calls it. */
+  private static final class TestListener implements AutoCloseable {
     private final Socket socket = new Socket();
     private final DataInputStream in;
     private final DataOutputStream out;
 
-    RawListener(Hub hub) throws IOException {
+    TestListener(TestHub hub) throws IOException {
       socket.setReceiveBufferSize(4 << 10);
       socket.connect(hub.address);
       in = new DataInputStream(socket.getInputStream());
       out = new DataOutputStream(socket.getOutputStream());
     }
 
-    void holds(long version, long lastUpdate) throws IOException {
+    void acknowledge(long version, long lastUpdate) throws IOException {
       HeldConfiguration held = new HeldConfiguration(version, lastUpdate, Delivery.IMMEDIATE);
       byte[] bytes =
           ListenerUpdateCodec.encode(
@@ -127,47 +127,51 @@
         name, "h", "/" + name + "/", true, 5, 4, 3, 2, List.of(new WeightedService("s", 1)));
   }
 
-  /** Guards against versions that queue up for a listener on a narrow link. */
+  /** Guards against versions that queue up for a listener on a slow link. */
   @Test
-  public void versionsThatCameMeanwhileAreSentTogether() throws IOException {
-    try (Hub hub = new Hub(table(1, 0));
-        RawListener listener = new RawListener(hub)) {
-      listener.holds(0, 0);
+  public void versionsDuringAnUpdateAreMerged() throws IOException {
+    try (TestHub hub = new TestHub(table(1, 0));
+        TestListener listener = new TestListener(hub)) {
+      listener.acknowledge(0, 0);
       assertEquals(listener.readUpdate().version(), 1);
       hub.configure(table(2, 0));
       hub.configure(table(3, 0));
       hub.configure(table(4, 0));
-      listener.holds(1, 1);
+      listener.acknowledge(1, 1);
       RouteUpdate next = listener.readUpdate();
       assertEquals(next.version(), 4);
       assertTrue(next instanceof RouteUpdate.Changes, "changes");
     }
   }
 
-  /** Guards against a listener that is disconnected since a large update has not left yet. */
+  /** Guards against disconnecting a listener because a large update is still being sent. */
   @Test
-  public void whoTakesLongToReadALargeUpdateGetsItWhole() throws IOException, InterruptedException {
-    try (Hub hub = new Hub(table(1, ROUTES));
-        RawListener listener = new RawListener(hub)) {
-      listener.holds(0, 0);
+  public void slowListenerReceivesALargeUpdateCompletely()
+      throws IOException, InterruptedException {
+    try (TestHub hub = new TestHub(table(1, ROUTES));
+        TestListener listener = new TestListener(hub)) {
+      listener.acknowledge(0, 0);
       listener.read();
       for (int i = 0; i < 5; i++) {
         hub.configure(table(2 + i, ROUTES));
         TimeUnit.MILLISECONDS.sleep(100);
       }
-      RouteTable got = listener.readUpdate().applyTo(RouteTable.EMPTY).orElseThrow();
-      assertEquals(got.routes().size(), ROUTES + 1);
-      listener.holds(got.version(), got.version());
+      RouteTable received = listener.readUpdate().applyTo(RouteTable.EMPTY).orElseThrow();
+      assertEquals(received.routes().size(), ROUTES + 1);
+      listener.acknowledge(received.version(), received.version());
       assertEquals(listener.readUpdate().version(), 6);
       assertEquals(hub.hub.listenersDropped(), 0);
     }
   }
 
-  /** Guards against instances of an earlier release that learn nothing of this one. */
+  /**
+   * Guards against instances of an earlier release that receive no configuration, since they never
+   * report which version they hold.
+   */
   @Test
-  public void whoNeverSaysWhatItHoldsGetsWholeConfigurations() throws IOException {
-    try (Hub hub = new Hub(table(1, 2));
-        RawListener listener = new RawListener(hub)) {
+  public void listenerOfAnEarlierReleaseReceivesFullConfigurations() throws IOException {
+    try (TestHub hub = new TestHub(table(1, 2));
+        TestListener listener = new TestListener(hub)) {
       Optional<RouteTable> routes = Optional.empty();
       while (routes.isEmpty()) {
         routes = listener.read().routes();
--- a/front/src/test/java/org/magnoliaswitch/front/peer/PeerUpdateCodecTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/PeerUpdateCodecTest.java
@@ -28,7 +28,7 @@
 import org.magnoliaswitch.front.version.WeightedService;
 import org.testng.annotations.Test;
 
-/** News on the wire between instances. */
+/** Tests the encoding of updates between instances. */
 public final class PeerUpdateCodecTest {
   private static final RequestIdentity REQUEST = new RequestIdentity(1, -2);
   private static final List<CrashReport> REPORTS =
@@ -36,7 +36,7 @@
           new CrashReport.Crashed(REQUEST, "i@7", true),
           new CrashReport.Cleared(REQUEST, Set.of("i@7", "j@0"), 2),
           new CrashReport.TrialStarted(REQUEST, 3));
-  private static final PeerUpdate NEWS =
+  private static final PeerUpdate UPDATE =
       new PeerUpdate(
           17,
           3,
@@ -64,26 +64,27 @@
           Optional.empty());
 
   @Test
-  public void whatIsWrittenIsRead() throws IOException {
-    PeerUpdate read = PeerUpdateCodec.decode(PeerUpdateCodec.encode(NEWS));
+  public void encodedUpdateIsDecoded() throws IOException {
+    PeerUpdate read = PeerUpdateCodec.decode(PeerUpdateCodec.encode(UPDATE));
     assertEquals(read.ageMillis(), 17);
     assertEquals(read.instances(), 3);
-    assertEquals(read.servers(), NEWS.servers());
+    assertEquals(read.servers(), UPDATE.servers());
     assertEquals(read.routes().orElseThrow().version(), 7);
-    assertEquals(read.routes().get().routes(), NEWS.routes().orElseThrow().routes());
+    assertEquals(read.routes().get().routes(), UPDATE.routes().orElseThrow().routes());
     assertEquals(read.routes().get().limits(), CallerLimits.DEFAULT);
     assertEquals(read.crashes(), REPORTS);
-    assertEquals(read.evacuations(), NEWS.evacuations());
+    assertEquals(read.evacuations(), UPDATE.evacuations());
     assertEquals(read.routes().get().warmup("s"), new Warmup(3, 2.5));
   }
 
   /**
-   * Instances are replaced one by one, so releases listen to each other: news that end before the
-   * reports are those of an earlier one, and a kind that nobody here knows is one of a later.
+   * Instances are replaced one at a time, so different releases exchange updates: an update that
+   * ends before the reports comes from an earlier release, and a report of an unknown kind from a
+   * later one.
    */
   @Test
-  public void reportsOfOtherReleasesArePassedOver() throws IOException {
-    byte[] all = PeerUpdateCodec.encode(NEWS);
+  public void fieldsOfOtherReleasesAreIgnored() throws IOException {
+    byte[] all = PeerUpdateCodec.encode(UPDATE);
     byte[] reports = CrashReportCodec.encode(REPORTS);
     int start = indexOf(all, reports);
     PeerUpdate earliest = PeerUpdateCodec.decode(Arrays.copyOf(all, start));
@@ -104,33 +105,36 @@
         return start;
       }
     }
-    throw new AssertionError("not contained");
+    throw new AssertionError("the message does not contain the reports");
   }
 
-  /** A listener is no more to be trusted than a seed: whatever it sends is read or refused. */
+  /** A listener is as little trusted as a seed: whatever it sends is decoded or rejected. */
   @Test
-  public void damagedReportsAreRefusedOrRead() {
+  public void corruptedReportsAreDecodedOrRejected() {
     byte[] good = CrashReportCodec.encode(REPORTS);
     CorruptedMessages.assertDecodedOrRejected(good, 6, CrashReportCodec::decode);
   }
 
-  /** A peer of another release, or a stranger, sends anything; the reader must only refuse it. */
+  /**
+   * A peer of another release, or an unrelated client, may send arbitrary bytes; decoding them must
+   * throw nothing but an {@link IOException}.
+   */
   @Test
-  public void damagedMessagesAreRefusedOrReadButNeverThrowAnythingElse() {
-    byte[] good = PeerUpdateCodec.encode(NEWS);
+  public void corruptedMessagesAreDecodedOrRejected() {
+    byte[] good = PeerUpdateCodec.encode(UPDATE);
     CorruptedMessages.assertDecodedOrRejected(good, 5, PeerUpdateCodec::decode);
   }
 
   @Test
-  public void anotherProtocolIsRefused() {
-    byte[] other = PeerUpdateCodec.encode(NEWS);
+  public void otherProtocolVersionIsRejected() {
+    byte[] other = PeerUpdateCodec.encode(UPDATE);
     other[0] = 1;
     assertThrows(IOException.class, () -> PeerUpdateCodec.decode(other));
   }
 
-  /** Listeners share the bytes of a message, and each has a place of its own at its end. */
+  /** Listeners share the encoded message, and each gets a tail with its own index. */
   @Test
-  public void aPlaceIsAddedToAMessageThatOthersGetAsWell() throws IOException {
+  public void tailCompletesASharedMessage() throws IOException {
     PeerUpdate shared =
         new PeerUpdate(
             0,
@@ -141,18 +145,18 @@
             List.of(),
             Optional.empty(),
             Optional.empty());
-    InstanceIndex place = new InstanceIndex(3, 97);
+    InstanceIndex index = new InstanceIndex(3, 97);
     byte[] message = PeerUpdateCodec.encode(shared);
-    byte[] end = PeerUpdateCodec.encodeEnd(place, 7, 0);
+    byte[] end = PeerUpdateCodec.encodeTail(index, 7, 0);
     byte[] update = RouteUpdateCodec.encode(Optional.empty());
     byte[] whole = Bytes.concat(message, end, update);
-    assertEquals(PeerUpdateCodec.decode(whole).instanceIndex(), Optional.of(place));
+    assertEquals(PeerUpdateCodec.decode(whole).instanceIndex(), Optional.of(index));
     assertEquals(PeerUpdateCodec.decode(message).instanceIndex(), Optional.empty());
   }
 
-  /** A server that starts again at once, with nothing else changed, must not look unchanged. */
+  /** A server that restarts immediately, with nothing else changed, must count as changed. */
   @Test
-  public void aRestartIsAChange() throws IOException {
+  public void restartCountsAsChange() throws IOException {
     ServerEntry entry = Servers.entry("a", false);
     ServerList before = new ServerList(1, Map.of("a", entry));
     ServerList after = new ServerList(2, Map.of("a", Servers.restarted(entry)));
@@ -173,7 +177,7 @@
   }
 
   @Test
-  public void changesLeadFromOneListToTheNext() {
+  public void changesTransformOneListIntoTheNext() {
     ServerList before =
         new ServerList(1, Map.of("a", Servers.entry("a", false), "b", Servers.entry("b", false)));
     ServerList after =
--- a/front/src/test/java/org/magnoliaswitch/front/peer/RouteUpdateCodecTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/RouteUpdateCodecTest.java
@@ -26,7 +26,7 @@
 import org.magnoliaswitch.front.version.WeightedService;
 import org.testng.annotations.Test;
 
-/** Updates of the configuration on the wire, and what listeners say of them. */
+/** Tests the encoding of configuration updates and of the messages of listeners. */
 public final class RouteUpdateCodecTest {
   private static final List<ServicePolicy> SERVICES =
       List.of(new ServicePolicy("s", "/health", 260, new Warmup(3, 2.5)));
@@ -45,7 +45,7 @@
         Set.of("north"));
   }
 
-  private static PeerUpdate news(RouteUpdate update) {
+  private static PeerUpdate peerUpdate(RouteUpdate update) {
     return new PeerUpdate(
         0,
         1,
@@ -58,14 +58,14 @@
   }
 
   private static RouteUpdate roundTrip(RouteUpdate update) throws IOException {
-    PeerUpdate read = PeerUpdateCodec.decode(PeerUpdateCodec.encode(news(update)));
+    PeerUpdate read = PeerUpdateCodec.decode(PeerUpdateCodec.encode(peerUpdate(update)));
     assertEquals(read.configuration().orElseThrow().version(), update.version());
     assertEquals(read.configuration().orElseThrow().ageMillis(), 12);
     return read.configuration().orElseThrow().update().orElseThrow();
   }
 
   @Test
-  public void changesAreReadAsWritten() throws IOException {
+  public void encodedChangesAreDecoded() throws IOException {
     RouteUpdate changes =
         new RouteUpdate.Changes(
             new RouteChanges(
@@ -73,9 +73,9 @@
     assertEquals(roundTrip(changes), changes);
   }
 
-  /** A large configuration is compressed; it has to come out as it went in, and be smaller. */
+  /** A large configuration is compressed; decoding must restore it, and it must be smaller. */
   @Test
-  public void aLargeConfigurationIsReadAsWritten() throws IOException {
+  public void largeConfigurationIsCompressedAndRestored() throws IOException {
     List<Route> routes = new ArrayList<>();
     for (int i = 0; i < 1_700; i++) {
       routes.add(route("r" + Integer.toHexString(i * 0x9E3779B9)));
@@ -89,48 +89,48 @@
   }
 
   @Test
-  public void damagedUpdatesAreRefusedOrReadButNeverThrowAnythingElse() {
+  public void corruptedUpdatesAreDecodedOrRejected() {
     List<Route> routes = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
       routes.add(route("r" + i));
     }
     RouteTable table = new RouteTable(9, routes, SERVICES, CallerLimits.DEFAULT);
-    byte[] good = PeerUpdateCodec.encode(news(new RouteUpdate.Full(table)));
+    byte[] good = PeerUpdateCodec.encode(peerUpdate(new RouteUpdate.Full(table)));
     CorruptedMessages.assertDecodedOrRejected(good, 8, PeerUpdateCodec::decode);
   }
 
-  /** What a listener tells. */
-  public static final class OfListeners {
+  /** Tests the messages of listeners. */
+  public static final class ListenerUpdates {
     private static final List<CrashReport> REPORTS =
         List.of(new CrashReport.TrialStarted(new RequestIdentity(1, -2), 3));
-    private static final ListenerUpdate NEWS =
+    private static final ListenerUpdate UPDATE =
         new ListenerUpdate(
             REPORTS,
             Optional.of(new HeldConfiguration(9, 7, HeldConfiguration.Delivery.DEFERRED)),
             Optional.of(
-                news(
+                peerUpdate(
                     new RouteUpdate.Changes(
                         new RouteChanges(
                             7, 9, List.of(), Set.of("b"), SERVICES, CallerLimits.DEFAULT)))));
 
     @Test
-    public void whatIsWrittenIsRead() throws IOException {
-      assertEquals(ListenerUpdateCodec.decode(ListenerUpdateCodec.encode(NEWS)), NEWS);
+    public void encodedUpdateIsDecoded() throws IOException {
+      assertEquals(ListenerUpdateCodec.decode(ListenerUpdateCodec.encode(UPDATE)), UPDATE);
     }
 
-    /** Instances are replaced one by one, so releases listen to each other. */
+    /** Instances are replaced one at a time, so different releases exchange messages. */
     @Test
-    public void anEarlierReleaseWritesAndReadsReportsAlone() throws IOException {
+    public void earlierReleaseExchangesReportsOnly() throws IOException {
       byte[] earlier = CrashReportCodec.encode(REPORTS);
       assertEquals(
           ListenerUpdateCodec.decode(earlier),
           new ListenerUpdate(REPORTS, Optional.empty(), Optional.empty()));
-      assertEquals(CrashReportCodec.decode(ListenerUpdateCodec.encode(NEWS)), REPORTS);
+      assertEquals(CrashReportCodec.decode(ListenerUpdateCodec.encode(UPDATE)), REPORTS);
     }
 
     @Test
-    public void damagedNewsAreRefusedOrRead() {
-      byte[] good = ListenerUpdateCodec.encode(NEWS);
+    public void corruptedUpdatesAreDecodedOrRejected() {
+      byte[] good = ListenerUpdateCodec.encode(UPDATE);
       CorruptedMessages.assertDecodedOrRejected(good, 9, ListenerUpdateCodec::decode);
     }
   }
--- a/front/src/test/java/org/magnoliaswitch/front/peer/StallDetectorTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/StallDetectorTest.java
@@ -6,32 +6,32 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** Slow listeners and those that do not read. */
+/** Tests that slow listeners are told apart from listeners that do not read. */
 public final class StallDetectorTest {
   private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
-  /** Guards against a listener on a narrow link that is disconnected and sent all once more. */
+  /** Guards against disconnecting a listener on a slow link, which then is sent all state again. */
   @Test
-  public void whoReadsSlowlyIsNotStalled() {
-    StallDetector watch = new StallDetector();
+  public void slowListenerIsNotStalled() {
+    StallDetector detector = new StallDetector();
     for (int second = 0; second < 60; second++) {
-      assertFalse(watch.stalled(1_000 - second, second * SECOND));
+      assertFalse(detector.stalled(1_000 - second, second * SECOND));
     }
   }
 
   @Test
-  public void whoDoesNotReadIsStalled() {
-    StallDetector watch = new StallDetector();
-    assertFalse(watch.stalled(1_000, SECOND));
-    assertFalse(watch.stalled(1_000, 4 * SECOND));
-    assertTrue(watch.stalled(1_000, 4 * SECOND + 1));
+  public void listenerThatDoesNotReadIsStalled() {
+    StallDetector detector = new StallDetector();
+    assertFalse(detector.stalled(1_000, SECOND));
+    assertFalse(detector.stalled(1_000, 4 * SECOND));
+    assertTrue(detector.stalled(1_000, 4 * SECOND + 1));
   }
 
   @Test
-  public void aLaterBacklogIsJudgedByItself() {
-    StallDetector watch = new StallDetector();
-    assertFalse(watch.stalled(10, 0));
-    watch.reset();
-    assertFalse(watch.stalled(1_000, 9 * SECOND));
+  public void resetStartsANewMeasurement() {
+    StallDetector detector = new StallDetector();
+    assertFalse(detector.stalled(10, 0));
+    detector.reset();
+    assertFalse(detector.stalled(1_000, 9 * SECOND));
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/peer/UpdateFlowControlTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/UpdateFlowControlTest.java
@@ -7,7 +7,7 @@
 import org.magnoliaswitch.front.peer.HeldConfiguration.Delivery;
 import org.testng.annotations.Test;
 
-/** When a listener is sent updates of the configuration. */
+/** Tests when a listener is sent configuration updates. */
 public final class UpdateFlowControlTest {
   private static final long START = 1_000;
 
@@ -17,11 +17,11 @@
     return flow;
   }
 
-  /** A listener that relies on this instance. */
-  public static final class AtOnce {
-    /** Guards against versions that queue up on a narrow link. */
+  /** Tests a listener that relies on this instance for updates. */
+  public static final class ImmediateDelivery {
+    /** Guards against versions that queue up on a slow link. */
     @Test
-    public void nothingMoreIsSentUntilTheLastUpdateHasArrived() {
+    public void nextUpdateWaitsForAcknowledgement() {
       UpdateFlowControl flow = flow(Delivery.IMMEDIATE);
       assertTrue(flow.startUpdate(4, START));
       assertFalse(flow.startUpdate(5, START + 1));
@@ -31,9 +31,12 @@
       assertEquals(flow.heldVersion(), 4);
     }
 
-    /** Guards against a listener that is never sent anything again. */
+    /**
+     * Guards against a listener that is sent no further updates after one that it received but
+     * could not apply to its version.
+     */
     @Test
-    public void anUpdateThatDidNotFitIsFollowedByAnother() {
+    public void updateThatWasNotAppliedIsFollowedByAnother() {
       UpdateFlowControl flow = flow(Delivery.IMMEDIATE);
       assertTrue(flow.startUpdate(5, START));
       flow.acknowledged(new HeldConfiguration(4, 5, Delivery.IMMEDIATE), START + 1);
@@ -41,9 +44,9 @@
       assertEquals(flow.heldVersion(), 4);
     }
 
-    /** What another peer sends meanwhile says nothing of what is on its way here. */
+    /** A version received from another peer does not acknowledge the update in flight. */
     @Test
-    public void newsOfAnOlderVersionLeaveTheUpdateUnderWay() {
+    public void acknowledgementOfAnOlderVersionKeepsTheUpdateInFlight() {
       UpdateFlowControl flow = flow(Delivery.IMMEDIATE);
       assertTrue(flow.startUpdate(6, START));
       flow.acknowledged(new HeldConfiguration(4, 0, Delivery.IMMEDIATE), START + 1);
@@ -51,17 +54,17 @@
     }
 
     @Test
-    public void whoHasTheVersionIsSentNothing() {
+    public void upToDateListenerIsSentNothing() {
       assertFalse(flow(Delivery.IMMEDIATE).startUpdate(3, START));
       assertFalse(flow(Delivery.IMMEDIATE).startUpdate(2, START));
     }
   }
 
-  /** A listener that another instance sends updates to. */
-  public static final class InReserve {
-    /** Guards against a listener that stays behind with the instance that it relies on. */
+  /** Tests a listener that another instance sends updates to. */
+  public static final class DeferredDelivery {
+    /** Guards against a listener that stays outdated because its preferred peer is outdated. */
     @Test
-    public void itIsSentWhatItStillLacksAfterAWhile() {
+    public void outdatedListenerIsSentAnUpdateAfterTheDelay() {
       UpdateFlowControl flow = flow(Delivery.DEFERRED);
       assertFalse(flow.startUpdate(4, START));
       assertFalse(flow.startUpdate(4, START + UpdateFlowControl.DEFERRED_DELAY_NANOS - 1));
@@ -69,7 +72,7 @@
     }
 
     @Test
-    public void whileItGetsOnNothingIsSent() {
+    public void progressRestartsTheDelay() {
       UpdateFlowControl flow = flow(Delivery.DEFERRED);
       assertFalse(flow.startUpdate(4, START));
       long later = START + UpdateFlowControl.DEFERRED_DELAY_NANOS;
@@ -77,9 +80,9 @@
       assertFalse(flow.startUpdate(5, later));
     }
 
-    /** Guards against a quick succession of versions that puts the update off without end. */
+    /** Guards against versions in quick succession that postpone the update indefinitely. */
     @Test
-    public void newVersionsDoNotPutItOff() {
+    public void newVersionsDoNotRestartTheDelay() {
       UpdateFlowControl flow = flow(Delivery.DEFERRED);
       long version = 4;
       for (long at = 0;
@@ -92,14 +95,14 @@
   }
 
   @Test
-  public void whoPassesUpdatesOnComesFirst() {
+  public void listenersThatForwardUpdatesComeFirst() {
     assertTrue(flow(Delivery.FIRST).sendOrder() < flow(Delivery.IMMEDIATE).sendOrder());
     assertTrue(flow(Delivery.IMMEDIATE).sendOrder() < flow(Delivery.DEFERRED).sendOrder());
     assertTrue(flow(Delivery.DEFERRED).sendOrder() < new UpdateFlowControl().sendOrder());
   }
 
   @Test
-  public void aListenerOfAnEarlierReleaseGetsNone() {
+  public void listenerOfAnEarlierReleaseIsSentNoUpdates() {
     UpdateFlowControl flow = new UpdateFlowControl();
     assertFalse(flow.hasAcknowledged());
     assertFalse(flow.startUpdate(4, START));
