--- a/front/src/main/java/org/magnoliaswitch/front/connection/CallerConnection.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/CallerConnection.java
@@ -34,18 +34,18 @@
 /**
  * One HTTP/1.1 connection of a caller.
  *
- * <p>Callers may send further requests before the first is answered. Idempotent ones run side by
- * side and are answered in order; any other waits until it is the oldest, since an answer that
- * closes the connection makes the caller send everything behind it again.
+ * <p>Callers may pipeline requests. Idempotent requests run concurrently, and their responses are
+ * written in order. Any other request waits until it is the oldest, because a response that closes
+ * the connection makes the caller repeat all requests after it.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
-  /** Requests read ahead on one connection; more wait in the kernel. */
-  private static final int MAX_PIPELINED = 64;
+  /** Limit of unanswered requests on one connection; further bytes stay in the kernel's buffer. */
+  private static final int MAX_PIPELINED_REQUESTS = 64;
 
-  /** Longest wait for the caller's own close behind a last answer. */
-  private static final long LINGER_MILLIS = 500;
+  /** Time to wait for the caller to close the connection after the last response. */
+  private static final long CLOSE_TIMEOUT_MILLIS = 500;
 
-  private static final CallerRequest UNREADABLE =
+  private static final CallerRequest UNPARSABLE_REQUEST =
       new CallerRequest(HttpMethod.GET, "", new DefaultHttpHeaders(), new byte[0], 0, false, "");
 
   private static final HttpResponseStatus BAD_REQUEST = HttpResponseStatus.BAD_REQUEST;
@@ -54,24 +54,24 @@
   private final RequestHandler handler;
   private final CallerListener listener;
   private final Clocks clocks;
-  private final Deque<Slot> slots = new ArrayDeque<>();
+  private final Deque<PendingRequest> pendingRequests = new ArrayDeque<>();
   private final ByteBuf body = Unpooled.buffer(0);
   private @Nullable HttpRequest head;
-  private boolean carriedRequests;
+  private boolean connectionUsed;
   private boolean closing;
   private boolean malformed;
   private long lastUsedNanos;
   private long partialSinceNanos;
   private boolean partial;
 
-  /** A request in its place among those of the connection. */
-  private static final class Slot {
+  /** A request whose response has not been written yet. */
+  private static final class PendingRequest {
     private final CallerRequest request;
     private final boolean keepAlive;
     private RequestHandler.@Nullable Call call;
-    private @Nullable CallerResponse answer;
+    private @Nullable CallerResponse response;
 
-    Slot(CallerRequest request, boolean keepAlive) {
+    PendingRequest(CallerRequest request, boolean keepAlive) {
       this.request = request;
       this.keepAlive = keepAlive;
     }
@@ -86,8 +86,8 @@
     this.lastUsedNanos = clocks.nanos();
   }
 
-  /** Notes that bytes came, before they are decoded. */
-  void bytesArrived() {
+  /** Records that bytes arrived; called before they are decoded. */
+  void bytesReceived() {
     lastUsedNanos = clocks.nanos();
     if (!partial) {
       partial = true;
@@ -95,33 +95,33 @@
     }
   }
 
-  /** Closes the connection when a caller keeps it idle, or takes too long over a request. */
+  /** Closes the connection if it has been idle, or its caller sends a request, for too long. */
   void sweep(long nowNanos) {
-    if (!slots.isEmpty() || closing) {
+    if (!pendingRequests.isEmpty() || closing) {
       return;
     }
     CallerLimits limits = listener.limits();
     if (partial && nowNanos - partialSinceNanos > limits.headerTimeoutNanos() && head == null) {
-      refuse(HttpResponseStatus.REQUEST_TIMEOUT, "slow_head", null);
+      reject(HttpResponseStatus.REQUEST_TIMEOUT, "slow_head", null);
     } else if (nowNanos - lastUsedNanos > limits.idleTimeoutNanos()) {
       if (partial) {
-        refuse(HttpResponseStatus.REQUEST_TIMEOUT, "slow_request", head);
+        reject(HttpResponseStatus.REQUEST_TIMEOUT, "slow_request", head);
       } else {
         Channels.close(channel);
       }
     }
   }
 
-  /** Closes the connection once nothing of a request has been read. */
+  /** Closes the connection unless it is busy. */
   void closeIfIdle() {
     if (!busy()) {
       Channels.close(channel);
     }
   }
 
-  /** Whether a request is being read, run or answered. */
+  /** Whether a request is being received, executed or answered. */
   boolean busy() {
-    return partial || head != null || !slots.isEmpty();
+    return partial || head != null || !pendingRequests.isEmpty();
   }
 
   @Override
@@ -139,13 +139,13 @@
     listener.closed(this);
     listener.release(body.readableBytes());
     body.clear();
-    slots.forEach(slot -> listener.release(slot.request.body().length));
-    for (Slot slot : slots) {
-      if (slot.call != null && slot.answer == null) {
-        slot.call.callerDisconnected();
+    pendingRequests.forEach(pending -> listener.release(pending.request.body().length));
+    for (PendingRequest pending : pendingRequests) {
+      if (pending.call != null && pending.response == null) {
+        pending.call.callerDisconnected();
       }
     }
-    slots.clear();
+    pendingRequests.clear();
   }
 
   @Override
@@ -159,7 +159,7 @@
     }
     if (message.decoderResult().isFailure()) {
       String reason = message.decoderResult().cause().getClass().getSimpleName();
-      refuse(BAD_REQUEST, reason, message instanceof HttpRequest request ? request : head);
+      reject(BAD_REQUEST, reason, message instanceof HttpRequest request ? request : head);
       return;
     }
     if (message instanceof HttpRequest request) {
@@ -173,16 +173,16 @@
   private void readHead(HttpRequest request) {
     HttpHeaders headers = request.headers();
     if (headers.getAll(HttpHeaderNames.HOST).size() != 1) {
-      refuse(BAD_REQUEST, "host", request);
+      reject(BAD_REQUEST, "host", request);
       return;
     }
     if (HttpUtil.getContentLength(request, 0L) > listener.limits().maxBodyBytes()) {
-      refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body", request);
+      reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body", request);
       return;
     }
     head = request;
     body.clear();
-    if (HttpUtil.is100ContinueExpected(request) && slots.isEmpty()) {
+    if (HttpUtil.is100ContinueExpected(request) && pendingRequests.isEmpty()) {
       Channels.write(
           channel, new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
     }
@@ -191,11 +191,11 @@
   private void readContent(HttpContent content, HttpRequest request) {
     int length = body.readableBytes() + content.content().readableBytes();
     if (length > listener.limits().maxBodyBytes()) {
-      refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body", request);
+      reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body", request);
       return;
     }
     if (!listener.reserve(content.content().readableBytes())) {
-      refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "memory", request);
+      reject(HttpResponseStatus.SERVICE_UNAVAILABLE, "memory", request);
       return;
     }
     body.writeBytes(content.content());
@@ -208,8 +208,8 @@
       }
       head = null;
       partial = false;
-      boolean used = carriedRequests;
-      carriedRequests = true;
+      boolean usedConnection = connectionUsed;
+      connectionUsed = true;
       enqueue(
           new CallerRequest(
               request.method(),
@@ -217,7 +217,7 @@
               request.headers(),
               bytes,
               clocks.nanos(),
-              used,
+              usedConnection,
               caller()),
           HttpUtil.isKeepAlive(request));
     }
@@ -230,112 +230,118 @@
   }
 
   private void enqueue(CallerRequest request, boolean keepAlive) {
-    slots.addLast(new Slot(request, keepAlive));
-    if (slots.size() >= MAX_PIPELINED) {
+    pendingRequests.addLast(new PendingRequest(request, keepAlive));
+    if (pendingRequests.size() >= MAX_PIPELINED_REQUESTS) {
       channel.config().setAutoRead(false);
     }
-    startEligible();
+    startEligibleRequests();
   }
 
-  private void startEligible() {
+  private void startEligibleRequests() {
     boolean oldest = true;
-    for (Slot slot : slots.toArray(new Slot[0])) {
-      boolean beside = handler.idempotent(slot.request);
-      if (!oldest && !beside) {
+    for (PendingRequest pending : pendingRequests.toArray(new PendingRequest[0])) {
+      boolean concurrent = handler.idempotent(pending.request);
+      if (!oldest && !concurrent) {
         return;
       }
-      if (slot.call == null && slot.answer == null && !closing) {
-        start(slot);
+      if (pending.call == null && pending.response == null && !closing) {
+        start(pending);
       }
-      if (!beside && slot.answer == null) {
+      if (!concurrent && pending.response == null) {
         return;
       }
       oldest = false;
     }
   }
 
-  private void start(Slot slot) {
+  private void start(PendingRequest pending) {
     RequestHandler.Call call =
         handler.start(
-            slot.request,
-            answer -> {
-              slot.answer = answer;
-              flushAnswered();
+            pending.request,
+            response -> {
+              pending.response = response;
+              writeCompletedResponses();
             });
-    slot.call = call;
+    pending.call = call;
   }
 
-  private void flushAnswered() {
-    Iterator<Slot> oldestFirst = slots.iterator();
+  private void writeCompletedResponses() {
+    Iterator<PendingRequest> oldestFirst = pendingRequests.iterator();
     while (oldestFirst.hasNext() && !closing) {
-      Slot slot = oldestFirst.next();
-      if (slot.answer == null) {
+      PendingRequest pending = oldestFirst.next();
+      if (pending.response == null) {
         break;
       }
       oldestFirst.remove();
-      write(slot, slot.answer);
+      write(pending, pending.response);
     }
     if (!closing) {
-      if (slots.size() < MAX_PIPELINED && !channel.config().isAutoRead()) {
+      if (pendingRequests.size() < MAX_PIPELINED_REQUESTS && !channel.config().isAutoRead()) {
         channel.config().setAutoRead(true);
       }
-      startEligible();
+      startEligibleRequests();
     }
   }
 
-  private void write(Slot slot, CallerResponse answer) {
-    listener.release(slot.request.body().length);
-    // Idle time counts from the answer: a caller may use the connection again long after a slow
-    // one.
+  private void write(PendingRequest pending, CallerResponse response) {
+    listener.release(pending.request.body().length);
+    // Idle time counts from the response rather than from the request, which may have taken longer
+    // than the idle timeout.
     lastUsedNanos = clocks.nanos();
-    boolean keep = slot.keepAlive && !listener.stopping();
-    boolean headOnly = HttpMethod.HEAD.equals(slot.request.method());
-    ByteBuf content = headOnly ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(answer.body());
-    FullHttpResponse response =
-        new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, answer.status(), content);
-    response.headers().set(answer.headers());
-    if (!headOnly && answer.status().code() != HttpResponseStatus.NO_CONTENT.code()) {
-      response.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.body().length);
+    boolean keep = pending.keepAlive && !listener.stopping();
+    boolean headOnly = HttpMethod.HEAD.equals(pending.request.method());
+    ByteBuf content = headOnly ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(response.body());
+    FullHttpResponse message =
+        new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, response.status(), content);
+    message.headers().set(response.headers());
+    if (!headOnly && response.status().code() != HttpResponseStatus.NO_CONTENT.code()) {
+      message.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.body().length);
     }
     if (keep) {
-      Channels.write(channel, response);
+      Channels.write(channel, message);
     } else {
-      closeAfter(response);
+      writeAndClose(message);
     }
   }
 
-  /** Answers what cannot be read as a request, behind the answers that are still due. */
-  private void refuse(HttpResponseStatus status, String reason, @Nullable HttpRequest request) {
+  /**
+   * Rejects bytes that are no acceptable request. The response is written after those of the
+   * requests before, and closes the connection.
+   */
+  private void reject(HttpResponseStatus status, String reason, @Nullable HttpRequest request) {
     malformed = true;
     handler.rejected(status, reason, Optional.ofNullable(request));
-    Slot last = new Slot(UNREADABLE, false);
-    last.answer = new CallerResponse(status, new DefaultHttpHeaders(), new byte[0]);
-    slots.addLast(last);
-    flushAnswered();
+    PendingRequest last = new PendingRequest(UNPARSABLE_REQUEST, false);
+    last.response = new CallerResponse(status, new DefaultHttpHeaders(), new byte[0]);
+    pendingRequests.addLast(last);
+    writeCompletedResponses();
   }
 
-  /** Answers last: requests behind it were not read, and callers send them again. */
-  private void closeAfter(FullHttpResponse response) {
+  /**
+   * Writes the last response of the connection. Requests after it are dropped, and callers repeat
+   * them on another connection.
+   */
+  private void writeAndClose(FullHttpResponse response) {
     closing = true;
-    for (Slot slot : slots) {
-      if (slot.call != null && slot.answer == null) {
-        slot.call.callerDisconnected();
+    for (PendingRequest pending : pendingRequests) {
+      if (pending.call != null && pending.response == null) {
+        pending.call.callerDisconnected();
       }
-      listener.release(slot.request.body().length);
+      listener.release(pending.request.body().length);
     }
-    slots.clear();
+    pendingRequests.clear();
     response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-    Channels.writeThen(channel, response, this::lingerThenClose);
+    Channels.writeThen(channel, response, this::shutDownThenClose);
   }
 
   /**
-   * Closes in two steps: a close with unread bytes resets the connection, and the reset can
-   * overtake the answer at the caller.
+   * Shuts down the output first and closes later: closing a socket with unread bytes resets the
+   * connection, and the reset can overtake the response on its way to the caller.
    */
-  private void lingerThenClose() {
+  private void shutDownThenClose() {
     if (channel instanceof DuplexChannel duplex && channel.isActive()) {
       var unused = duplex.shutdownOutput();
-      listener.loop().afterMillis(LINGER_MILLIS, () -> Channels.close(channel));
+      listener.loop().afterMillis(CLOSE_TIMEOUT_MILLIS, () -> Channels.close(channel));
     } else {
       Channels.close(channel);
     }
--- a/front/src/main/java/org/magnoliaswitch/front/connection/CallerListener.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/CallerListener.java
@@ -21,17 +21,17 @@
 import org.magnoliaswitch.front.loop.Loop;
 import org.magnoliaswitch.front.version.CallerLimits;
 
-/** Accepts callers' connections; all of them run on one event loop. */
+/** Accepts the connections of callers; all connections run on one event loop. */
 public final class CallerListener {
-  /** Callers that all come within one minute must not meet a full accept queue. */
+  /** Large enough that all callers can reconnect within a minute without a full accept queue. */
   private static final int BACKLOG = 1024;
 
   /**
-   * Memory for bodies of requests that are not answered yet, in bytes. A body is held up to three
-   * times, so this is a quarter of the heap; a full heap would end the process and all its
-   * requests.
+   * Limit for the bodies of all unanswered requests, in bytes. Up to three copies of a body exist
+   * at a time, and with them this is a quarter of the heap; a full heap would crash the process
+   * with all its requests.
    */
-  private static final long MAX_HELD_BODY_BYTES = 32 << 20;
+  private static final long MAX_TOTAL_BODY_BYTES = 32 << 20;
 
   private static final long SWEEP_MILLIS = 500;
 
@@ -41,7 +41,7 @@
   private final Supplier<CallerLimits> limits;
   private final Set<CallerConnection> connections = new HashSet<>();
   private @Nullable Channel server;
-  private long heldBodyBytes;
+  private long reservedBodyBytes;
   private boolean stopping;
 
   public CallerListener(
@@ -52,7 +52,7 @@
     this.limits = limits;
   }
 
-  /** Binds the address and returns when callers can connect. */
+  /** Binds the address; callers can connect when this method returns. */
   public void bind(InetSocketAddress address) {
     ServerBootstrap bootstrap =
         new ServerBootstrap()
@@ -67,7 +67,7 @@
     loop.everyMillis(SWEEP_MILLIS, this::sweep);
   }
 
-  /** Address that callers connect to. */
+  /** Address that callers connect to, with the actual port. */
   public InetSocketAddress address() {
     if (server == null) {
       throw new IllegalStateException("not bound");
@@ -75,12 +75,12 @@
     return (InetSocketAddress) server.localAddress();
   }
 
-  /** From now on each answer closes its connection; runs on the event loop. */
+  /** Makes each further response close its connection; must run on the event loop. */
   public void startDraining() {
     stopping = true;
   }
 
-  /** Takes no further connections and closes idle ones; runs on the event loop. */
+  /** Stops accepting connections and closes idle ones; must run on the event loop. */
   public void stopAccepting() {
     if (server != null) {
       Channels.close(server);
@@ -88,35 +88,35 @@
     Set.copyOf(connections).forEach(CallerConnection::closeIfIdle);
   }
 
-  /** Connections with a request that is read, run or answered; runs on the event loop. */
+  /** Number of busy connections; must run on the event loop. */
   public int busy() {
     return (int) connections.stream().filter(CallerConnection::busy).count();
   }
 
-  /** Open connections; runs on the event loop. */
+  /** Number of open connections; must run on the event loop. */
   public int size() {
     return connections.size();
   }
 
-  /** Takes memory for a part of a request's body, if there is any left. */
+  /** Reserves memory for a part of a request body; false if the limit would be exceeded. */
   boolean reserve(int bytes) {
-    if (heldBodyBytes + bytes > MAX_HELD_BODY_BYTES) {
+    if (reservedBodyBytes + bytes > MAX_TOTAL_BODY_BYTES) {
       return false;
     }
-    heldBodyBytes += bytes;
+    reservedBodyBytes += bytes;
     return true;
   }
 
-  /** Gives back memory of a body. */
+  /** Releases reserved memory of a body. */
   void release(int bytes) {
-    heldBodyBytes -= bytes;
+    reservedBodyBytes -= bytes;
   }
 
   Loop loop() {
     return loop;
   }
 
-  /** Limits in force now. */
+  /** Limits of the configuration in force. */
   CallerLimits limits() {
     return limits.get();
   }
@@ -134,7 +134,7 @@
     List.copyOf(connections).forEach(connection -> connection.sweep(now));
   }
 
-  /** Puts the codec and the connection on a channel. */
+  /** Installs the codec and the connection handler on a channel. */
   private final class Pipeline extends ChannelInitializer<SocketChannel> {
     @Override
     protected void initChannel(SocketChannel channel) {
@@ -142,34 +142,34 @@
       CallerConnection connection =
           new CallerConnection(channel, handler, CallerListener.this, clocks);
       connections.add(connection);
-      channel.pipeline().addLast(new ArrivalNotice(connection));
+      channel.pipeline().addLast(new InboundBytesHandler(connection));
       channel.pipeline().addLast(new CallerRequestDecoder(current), new HttpResponseEncoder());
       channel.pipeline().addLast(connection);
     }
   }
 
   /**
-   * Tells a connection of bytes before the decoder holds them back, and gives a request the limits
-   * in force when it begins: connections outlive configurations, and by older limits a proper
-   * request would be refused.
+   * Notifies a connection of bytes before the decoder buffers them, and applies the limits in force
+   * when a request starts. Connections outlive configurations, and outdated limits would reject
+   * valid requests.
    */
-  private final class ArrivalNotice extends ChannelInboundHandlerAdapter {
+  private final class InboundBytesHandler extends ChannelInboundHandlerAdapter {
     private final CallerConnection connection;
 
-    ArrivalNotice(CallerConnection connection) {
+    InboundBytesHandler(CallerConnection connection) {
       this.connection = connection;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
       if (!connection.busy()) {
-        renewDecoder(context.pipeline());
+        updateDecoder(context.pipeline());
       }
-      connection.bytesArrived();
+      connection.bytesReceived();
       context.fireChannelRead(message);
     }
 
-    private void renewDecoder(ChannelPipeline pipeline) {
+    private void updateDecoder(ChannelPipeline pipeline) {
       CallerRequestDecoder decoder = pipeline.get(CallerRequestDecoder.class);
       if (decoder.maxHeaderBytes() != limits.get().maxHeaderBytes()) {
         pipeline.replace(decoder, null, new CallerRequestDecoder(limits.get()));
--- a/front/src/main/java/org/magnoliaswitch/front/connection/CallerRequest.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/CallerRequest.java
@@ -6,15 +6,15 @@
 import org.magnoliaswitch.core.crash.RequestIdentity;
 
 /**
- * A request that was read whole.
+ * A completely received request.
  *
  * @param method HTTP method
  * @param target request target as the caller wrote it
  * @param headers all headers of the caller
- * @param body whole body
- * @param readNanos when its last byte was read
- * @param usedConnection whether its connection carried other requests before
- * @param caller address of the caller, without its port
+ * @param body complete body
+ * @param readNanos monotonic time at which the last byte was read
+ * @param usedConnection whether the connection carried earlier requests
+ * @param caller IP address of the caller, without the port
  */
 public record CallerRequest(
     HttpMethod method,
@@ -24,7 +24,7 @@
     long readNanos,
     boolean usedConnection,
     String caller) {
-  /** What the request asks for, whoever brings it and however often. */
+  /** Identity of the request's content, equal for repetitions by any caller. */
   public RequestIdentity identity() {
     String host = headers.get(HttpHeaderNames.HOST, "");
     return RequestIdentity.ofContent(method.name(), host, target, body);
--- a/front/src/main/java/org/magnoliaswitch/front/connection/CallerRequestDecoder.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/CallerRequestDecoder.java
@@ -8,10 +8,10 @@
 import org.magnoliaswitch.front.version.CallerLimits;
 
 /**
- * Decodes requests and marks those that tell their length in two ways.
+ * Decodes requests, and fails those with both {@code Content-Length} and {@code Transfer-Encoding}.
  *
- * <p>The next hop may go by the other length and take the rest of the body for a request of its own
- * that no caller sent (request smuggling).
+ * <p>The next hop could use the other length and interpret the rest of the body as a request that
+ * no caller sent (request smuggling).
  */
 final class CallerRequestDecoder extends HttpRequestDecoder {
   private static final int MAX_REQUEST_LINE_BYTES = 8 * 1024;
@@ -32,6 +32,7 @@
 
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-    message.setDecoderResult(DecoderResult.failure(new DecoderException("two lengths")));
+    message.setDecoderResult(
+        DecoderResult.failure(new DecoderException("both Content-Length and Transfer-Encoding")));
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/connection/ReplyListener.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/ReplyListener.java
@@ -1,8 +1,8 @@
 package org.magnoliaswitch.front.connection;
 
-/** Told once how an exchange with a backend server ended. */
+/** Receives the result of an exchange with a backend server, exactly once. */
 @FunctionalInterface
 public interface ReplyListener {
-  /** Takes the end of the exchange. */
+  /** Called when the exchange has ended. */
   void ended(ServerReply reply);
 }
--- a/front/src/main/java/org/magnoliaswitch/front/connection/RequestHandler.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/RequestHandler.java
@@ -5,24 +5,33 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Turns requests of callers into answers. */
+/** Handles requests of callers. */
 public interface RequestHandler {
   /** A request in progress, as its caller's connection sees it. */
   interface Call {
-    /** The caller has left: nobody waits for the answer any more. */
+    /** Called when the caller has disconnected, so that the response is not needed any more. */
     void callerDisconnected();
   }
 
-  /** Whether the request may run more than once, and so beside others of its connection. */
+  /**
+   * Whether the request may run more than once, and may therefore run concurrently with other
+   * requests of its connection.
+   */
   boolean idempotent(CallerRequest request);
 
   /**
-   * Notes that what a caller sent was refused before it became a request.
+   * Called when bytes of a caller were rejected before they formed a complete request.
    *
-   * @param head its head, as far as it was read
+   * @param status HTTP status of the response
+   * @param reason short reason for the log
+   * @param head request line and headers, if they were read
    */
   default void rejected(HttpResponseStatus status, String reason, Optional<HttpRequest> head) {}
 
-  /** Starts a request; the answer is given exactly once unless the caller leaves. */
-  Call start(CallerRequest request, Consumer<CallerResponse> answer);
+  /**
+   * Starts a request.
+   *
+   * @param response receives the response, exactly once unless the caller disconnects
+   */
+  Call start(CallerRequest request, Consumer<CallerResponse> response);
 }
--- a/front/src/main/java/org/magnoliaswitch/front/connection/ServerConnection.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/ServerConnection.java
@@ -27,26 +27,30 @@
 /**
  * One HTTP/1.1 connection to a backend server, which carries one exchange at a time.
  *
- * <p>An answer counts only if it echoes the id of the request that waits: a server may send a
- * second answer late, just where the next one is due. Such an answer is skipped, and the connection
- * is closed after the exchange. Bytes that belong to no request close it at once.
+ * <p>A response is accepted only if it echoes the id of the pending request, because a server may
+ * send a second, late response to an earlier request in its place. Such a response is skipped, and
+ * the connection is closed after the exchange. Bytes that arrive without a pending request close
+ * the connection at once.
  */
 public final class ServerConnection extends ChannelInboundHandlerAdapter {
-  /** Bounds what one answer may hold in memory, in bytes. */
+  /** Size limit of the body of a response, which is held in memory. */
   private static final int MAX_BODY_BYTES = 8 << 20;
 
-  /** Subtracted from the server's own idle time, so that no request meets its close. */
+  /**
+   * Subtracted from the server's keep-alive timeout, so that no request is sent while the server
+   * closes the connection.
+   */
   private static final long KEEP_ALIVE_MARGIN_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private static final String KEEP_ALIVE = "keep-alive";
   private static final String KEEP_ALIVE_TIMEOUT = "timeout=";
 
-  /** The pool that a connection belongs to. */
+  /** The pool that a connection matchesRequest to. */
   interface Owner {
-    /** The connection can carry another exchange. */
+    /** Called when the connection can carry another exchange. */
     void released(ServerConnection connection);
 
-    /** The connection is of no more use. */
+    /** Called when the connection cannot be used any more. */
     void closed(ServerConnection connection);
   }
 
@@ -58,13 +62,13 @@
   private @Nullable Exchange exchange;
   private @Nullable HttpResponse head;
   private boolean skipping;
-  private boolean tainted;
+  private boolean outOfSync;
   private boolean closed;
-  private boolean releaseDue;
+  private boolean releasePending;
   private long idleSinceNanos;
-  private long keepNanos = Long.MAX_VALUE;
+  private long keepAliveNanos = Long.MAX_VALUE;
 
-  /** What waits for an answer. */
+  /** The pending request and the listener of its reply. */
   private record Exchange(
       Optional<String> requestId, boolean head, ChannelFuture written, ReplyListener listener) {}
 
@@ -77,13 +81,13 @@
   }
 
   /**
-   * Writes a request; the listener is told once how it ends.
+   * Writes a request; the listener is called once with the reply.
    *
-   * @param requestId id that the answer must echo; absent for health checks
+   * @param requestId id that the response must echo; absent for health checks
    */
   public void send(FullHttpRequest request, Optional<String> requestId, ReplyListener listener) {
     if (exchange != null) {
-      throw new IllegalStateException("the connection is busy");
+      throw new IllegalStateException("an exchange is already in progress on this connection");
     }
     boolean headOnly = HttpMethod.HEAD.equals(request.method());
     ChannelFuture written = channel.writeAndFlush(request);
@@ -93,24 +97,26 @@
     }
   }
 
-  /** Whether the answer that is due has no body whatever its headers say. */
-  boolean answersHead() {
+  /** Whether the pending request is a HEAD, whose response has no body despite its headers. */
+  boolean headPending() {
     return exchange != null && exchange.head();
   }
 
-  /** Closes the connection; a waiting listener is not told. */
+  /** Closes the connection without calling the listener of a pending exchange. */
   public void abandon() {
     exchange = null;
     close();
   }
 
-  /** Whether a request could be written now. */
+  /**
+   * Whether the connection is open and has been idle for less than the limit and the keep-alive.
+   */
   public boolean usable(long nowNanos, long maxIdleNanos) {
     long idle = nowNanos - idleSinceNanos;
-    return !closed && channel.isActive() && idle < Math.min(maxIdleNanos, keepNanos);
+    return !closed && channel.isActive() && idle < Math.min(maxIdleNanos, keepAliveNanos);
   }
 
-  /** How long the connection has been idle. */
+  /** Time for which the connection has been idle. */
   public long idleNanos(long nowNanos) {
     return nowNanos - idleSinceNanos;
   }
@@ -126,20 +132,20 @@
 
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
-    if (releaseDue) {
-      releaseDue = false;
+    if (releasePending) {
+      releasePending = false;
       release();
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    broken("closed");
+    fail("closed");
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    broken(cause instanceof IOException ? "reset" : "malformed");
+    fail(cause instanceof IOException ? "reset" : "malformed");
   }
 
   private void read(HttpObject message) {
@@ -147,12 +153,12 @@
       return;
     }
     if (message.decoderResult().isFailure()) {
-      broken("malformed");
+      fail("malformed");
       return;
     }
-    if (exchange == null || releaseDue) {
-      // An answer or bytes that nobody waits for: whatever comes next on it cannot be trusted.
-      releaseDue = false;
+    if (exchange == null || releasePending) {
+      // Unsolicited bytes: nothing that follows on this connection can be matched to a request.
+      releasePending = false;
       close();
       return;
     }
@@ -169,20 +175,20 @@
       skipping = true;
       return;
     }
-    skipping = !belongs(response);
-    tainted |= skipping;
+    skipping = !matchesRequest(response);
+    outOfSync |= skipping;
     head = skipping ? null : response;
     body.clear();
   }
 
-  private boolean belongs(HttpResponse response) {
+  private boolean matchesRequest(HttpResponse response) {
     if (exchange == null || exchange.requestId().isEmpty()) {
       return true;
     }
     String echoed = response.headers().get(names.requestId());
     if (echoed == null) {
-      // Only a refusal may lack the id; taking anything else could hand out another's answer.
-      return !tainted
+      // Only a rejection may lack the id; any other response could belong to another request.
+      return !outOfSync
           && (response.headers().contains(names.notExecuted())
               || response.status().code() == HttpResponseStatus.MISDIRECTED_REQUEST.code());
     }
@@ -193,47 +199,48 @@
     if (!skipping) {
       body.writeBytes(content.content());
       if (body.readableBytes() > MAX_BODY_BYTES) {
-        broken("too_large");
+        fail("too_large");
         return;
       }
     }
     if (content instanceof LastHttpContent && !skipping && head != null) {
-      whole(head);
+      complete(head);
     }
   }
 
-  private void whole(HttpResponse response) {
+  private void complete(HttpResponse response) {
     byte[] bytes = new byte[body.readableBytes()];
     body.readBytes(bytes);
     body.clear();
     if (body.capacity() > (64 << 10)) {
       body.capacity(0);
     }
-    Exchange ended = exchange;
-    if (ended == null) {
+    Exchange finished = exchange;
+    if (finished == null) {
       return;
     }
-    // An answer before the request was written: the server would read the rest as a new request.
-    boolean early = !ended.written().isDone();
-    boolean framed =
+    // After a response before the whole request was written, the server would read the rest of the
+    // request as a new one.
+    boolean requestIncomplete = !finished.written().isDone();
+    boolean delimited =
         HttpUtil.isContentLengthSet(response) || HttpUtil.isTransferEncodingChunked(response);
-    boolean keep = HttpUtil.isKeepAlive(response) && (framed || ended.head());
-    keepNanos = keepAlive(response);
-    if (early || tainted || !keep || !channel.isActive()) {
+    boolean keepAlive = HttpUtil.isKeepAlive(response) && (delimited || finished.head());
+    keepAliveNanos = keepAliveNanos(response);
+    if (requestIncomplete || outOfSync || !keepAlive || !channel.isActive()) {
       close();
     } else {
-      releaseDue = true;
+      releasePending = true;
     }
     finish(new ServerReply.Complete(response.status(), response.headers(), bytes));
   }
 
   private void finish(ServerReply reply) {
-    Exchange ended = exchange;
+    Exchange finished = exchange;
     exchange = null;
     head = null;
     skipping = false;
-    if (ended != null) {
-      ended.listener().ended(reply);
+    if (finished != null) {
+      finished.listener().ended(reply);
     }
   }
 
@@ -244,7 +251,7 @@
     }
   }
 
-  private void broken(String reason) {
+  private void fail(String reason) {
     close();
     finish(new ServerReply.Broken(reason));
   }
@@ -257,7 +264,7 @@
     }
   }
 
-  private static long keepAlive(HttpResponse response) {
+  private static long keepAliveNanos(HttpResponse response) {
     String value = response.headers().get(KEEP_ALIVE);
     int start = value == null ? -1 : value.indexOf(KEEP_ALIVE_TIMEOUT);
     if (value == null || start < 0) {
--- a/front/src/main/java/org/magnoliaswitch/front/connection/ServerConnector.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/ServerConnector.java
@@ -24,12 +24,12 @@
 /** Opens connections to backend servers. */
 public final class ServerConnector {
   /**
-   * A server that does not take a connection within this time is passed by: nothing has been
-   * written yet, so another may be tried.
+   * A server that does not accept a connection within this time is skipped; since nothing has been
+   * written yet, another server can be tried safely.
    */
   private static final int CONNECT_TIMEOUT_MILLIS = 250;
 
-  /** Seconds of silence before the kernel asks the peer whether it still knows the connection. */
+  /** Seconds without traffic before the kernel sends the first keep-alive probe. */
   private static final int KEEP_ALIVE_IDLE_SECONDS = 2;
 
   private static final int KEEP_ALIVE_INTERVAL_SECONDS = 1;
@@ -77,42 +77,42 @@
             });
   }
 
-  /** Whether a connection failed because nobody listens at the address. */
-  static boolean refused(Throwable cause) {
+  /** Whether connecting failed because no process listens at the address. */
+  static boolean connectionRefused(Throwable cause) {
     return cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException);
   }
 
-  /** Runs a task on the thread of all connections after a while. */
+  /** Runs a task on the event loop of the connections after a delay. */
   void afterMillis(long millis, Runnable task) {
     loop.afterMillis(millis, task);
   }
 
   private ServerConnection attach(Channel channel, ServerConnection.Owner owner) {
     ServerConnection connection = new ServerConnection(channel, owner, clocks, names);
-    channel.pipeline().get(AnswerDecoder.class).connection = connection;
+    channel.pipeline().get(ResponseDecoder.class).connection = connection;
     channel.pipeline().addLast(connection);
     return connection;
   }
 
-  /** Installs the codec; the connection itself is added once the channel is open. */
+  /** Installs the codec; the connection handler is added once the channel is open. */
   private static final class Pipeline extends ChannelInitializer<Channel> {
     @Override
     protected void initChannel(Channel channel) {
-      channel.pipeline().addLast(new AnswerDecoder(), new HttpRequestEncoder());
+      channel.pipeline().addLast(new ResponseDecoder(), new HttpRequestEncoder());
     }
   }
 
-  /** Decodes answers, knowing when one has no body because the request was a HEAD. */
-  private static final class AnswerDecoder extends HttpResponseDecoder {
+  /** Decodes responses; a response to a HEAD request has no body. */
+  private static final class ResponseDecoder extends HttpResponseDecoder {
     private @Nullable ServerConnection connection;
 
-    AnswerDecoder() {
+    ResponseDecoder() {
       super(new HttpDecoderConfig().setMaxHeaderSize(64 * 1024).setMaxInitialLineLength(8 * 1024));
     }
 
     @Override
     protected boolean isContentAlwaysEmpty(HttpMessage message) {
-      return (connection != null && connection.answersHead())
+      return (connection != null && connection.headPending())
           || super.isContentAlwaysEmpty(message);
     }
   }
--- a/front/src/main/java/org/magnoliaswitch/front/connection/ServerPool.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/ServerPool.java
@@ -12,20 +12,20 @@
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.front.load.ServerState;
 
-/** The kept connections to one incarnation of a backend server; used by one thread only. */
+/** Pool of persistent connections to one incarnation of a backend server. Not thread-safe. */
 public final class ServerPool {
-  /** Time after which a connection that a process took while it ended is closed with it. */
-  private static final long SETTLE_MILLIS = 30;
+  /** Time within which a connection accepted by a crashing process is closed with the process. */
+  private static final long CLOSE_DETECTION_MILLIS = 30;
 
-  private static final int FIRST_LOOK = 1;
-  private static final int LAST_LOOK = 2;
+  private static final int FIRST_ATTEMPT = 1;
+  private static final int LAST_ATTEMPT = 2;
 
   private final ServerState state;
   private final ServerConnector connector;
   private final Clocks clocks;
   private final Deque<ServerConnection> idle = new ArrayDeque<>();
   private final Set<ServerConnection> all = new HashSet<>();
-  private final List<Consumer<Boolean>> askingWhetherEnded = new ArrayList<>();
+  private final List<Consumer<Boolean>> crashCheckCallbacks = new ArrayList<>();
   private int opening;
 
   public ServerPool(ServerState state, ServerConnector connector, Clocks clocks) {
@@ -34,20 +34,20 @@
     this.clocks = clocks;
   }
 
-  /** What is known of the server. */
+  /** State of the server. */
   public ServerState state() {
     return state;
   }
 
-  /** Connections that are open, busy ones included. */
+  /** Number of open connections, including busy ones. */
   public int size() {
     return all.size();
   }
 
   /**
-   * Takes the connection used last, if it was used recently enough.
+   * Acquires the most recently used idle connection, if it was used recently enough.
    *
-   * @param maxIdleNanos idle time after which a connection is not trusted with the request
+   * @param maxIdleNanos idle time after which a connection is not reused for the request
    */
   public Optional<ServerConnection> acquireIdle(long maxIdleNanos) {
     ServerConnection connection = idle.peekLast();
@@ -55,7 +55,7 @@
       return Optional.empty();
     }
     idle.removeLast();
-    countIdle();
+    publishIdleCount();
     return Optional.of(connection);
   }
 
@@ -70,7 +70,7 @@
     opening++;
     connector.connect(
         address,
-        new Members(),
+        new PooledConnectionOwner(),
         connection -> {
           opening--;
           all.add(connection);
@@ -83,76 +83,88 @@
   }
 
   /**
-   * Finds out whether the server's process has ended, after a connection to it did: one that lives
-   * takes another connection and keeps it. A machine that does not answer at all is not told from a
-   * cut path, and counts as living, as one that must be left alone does. Callers that ask at the
-   * same time share the answer.
+   * Checks whether the server's process has crashed, after a connection to it was closed: a live
+   * process accepts another connection and keptOpen it open. A machine that does not answer at all
+   * cannot be callback apart from a network failure and counts as live, and so does a server in an
+   * evacuated data centre, which must not be contacted. Concurrent checks share one result.
+   *
+   * @param callback receives true if the process has crashed
    */
-  public void checkCrashed(Consumer<Boolean> told) {
+  public void checkCrashed(Consumer<Boolean> callback) {
     if (state.evacuated()) {
-      told.accept(false);
+      callback.accept(false);
       return;
     }
-    askingWhetherEnded.add(told);
-    if (askingWhetherEnded.size() == 1) {
-      checkCrashed(FIRST_LOOK);
+    crashCheckCallbacks.add(callback);
+    if (crashCheckCallbacks.size() == 1) {
+      checkCrashed(FIRST_ATTEMPT);
     }
   }
 
-  private void checkCrashed(int look) {
+  private void checkCrashed(int attempt) {
     connect(
-        connection -> connector.afterMillis(SETTLE_MILLIS, () -> settled(connection, look)),
-        cause -> tellWhetherEnded(ServerConnector.refused(cause)));
+        connection ->
+            connector.afterMillis(CLOSE_DETECTION_MILLIS, () -> evaluate(connection, attempt)),
+        cause -> completeCrashCheck(ServerConnector.connectionRefused(cause)));
   }
 
-  /** A process on its way out may still take a connection, which then ends like the others. */
-  private void settled(ServerConnection connection, int look) {
-    boolean keeps = connection.usable(clocks.nanos(), Long.MAX_VALUE);
-    if (keeps) {
+  /**
+   * Evaluates a connection after the delay. A crashing process may still accept a connection, which
+   * is then closed like the others.
+   */
+  private void evaluate(ServerConnection connection, int attempt) {
+    boolean keptOpen = connection.usable(clocks.nanos(), Long.MAX_VALUE);
+    if (keptOpen) {
       release(connection);
     }
-    if (keeps || look == LAST_LOOK) {
-      tellWhetherEnded(false);
+    if (keptOpen || attempt == LAST_ATTEMPT) {
+      completeCrashCheck(false);
     } else {
-      checkCrashed(look + 1);
+      checkCrashed(attempt + 1);
     }
   }
 
-  private void tellWhetherEnded(boolean ended) {
-    List<Consumer<Boolean>> asking = List.copyOf(askingWhetherEnded);
-    askingWhetherEnded.clear();
-    asking.forEach(told -> told.accept(ended));
+  private void completeCrashCheck(boolean crashed) {
+    List<Consumer<Boolean>> callbacks = List.copyOf(crashCheckCallbacks);
+    crashCheckCallbacks.clear();
+    callbacks.forEach(callback -> callback.accept(crashed));
   }
 
-  /** Gives back a connection that was taken but not used. */
+  /** Returns a connection that was acquired but not used. */
   public void release(ServerConnection connection) {
-    new Members().released(connection);
+    new PooledConnectionOwner().released(connection);
   }
 
-  /** Closes idle connections whose server would soon close them, and all of a server that left. */
+  /**
+   * Closes idle connections that the server would soon close, and all idle connections to a server
+   * that accepts no more work.
+   */
   public void sweep(long maxIdleNanos) {
     long now = clocks.nanos();
-    boolean left = !state.acceptsWork();
+    boolean closeAll = !state.acceptsWork();
     for (ServerConnection connection : Set.copyOf(idle)) {
-      if (left || !connection.usable(now, maxIdleNanos)) {
+      if (closeAll || !connection.usable(now, maxIdleNanos)) {
         idle.remove(connection);
         connection.abandon();
       }
     }
-    countIdle();
+    publishIdleCount();
   }
 
-  /** Closes idle connections now; busy ones close when they are done, if the server has left. */
+  /**
+   * Closes all idle connections. Busy ones are closed after their exchange if the server accepts no
+   * more work.
+   */
   public void closeIdle() {
     sweep(0);
   }
 
-  private void countIdle() {
+  private void publishIdleCount() {
     state.idleConnections(idle.size());
   }
 
-  /** Takes connections back from their exchanges. */
-  private final class Members implements ServerConnection.Owner {
+  /** Returns connections to the pool after their exchanges. */
+  private final class PooledConnectionOwner implements ServerConnection.Owner {
     @Override
     public void released(ServerConnection connection) {
       if (!state.acceptsWork()) {
@@ -160,14 +172,14 @@
         return;
       }
       idle.addLast(connection);
-      countIdle();
+      publishIdleCount();
     }
 
     @Override
     public void closed(ServerConnection connection) {
       all.remove(connection);
       idle.remove(connection);
-      countIdle();
+      publishIdleCount();
     }
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/connection/ServerReply.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/ServerReply.java
@@ -3,21 +3,21 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** How one exchange with a backend server ended. */
+/** The result of one exchange with a backend server. */
 public sealed interface ServerReply {
   /**
-   * A whole answer that belongs to the request.
+   * A complete response to the request.
    *
-   * @param status status of the server
-   * @param headers headers of the server
-   * @param body whole body
+   * @param status HTTP status
+   * @param headers headers of the response
+   * @param body complete body
    */
   record Complete(HttpResponseStatus status, HttpHeaders headers, byte[] body)
       implements ServerReply {}
 
   /**
-   * The connection ended, or carried bytes that are no answer to the request; the server may have
-   * run it.
+   * The connection was closed, or received bytes that are no valid response to the request; the
+   * server may have executed the request.
    *
    * @param reason one word for the log
    */
--- a/front/src/main/java/org/magnoliaswitch/front/connection/package-info.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/package-info.java
@@ -1,4 +1,4 @@
-/** What lives as long as a connection: to a caller or to a backend server. */
+/** Connections to callers and to backend servers, with the state that lives as long as they do. */
 @NullMarked
 package org.magnoliaswitch.front.connection;
 
--- a/front/src/test/java/org/magnoliaswitch/front/connection/CallerConnectionTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/connection/CallerConnectionTest.java
@@ -22,18 +22,18 @@
 import org.magnoliaswitch.front.version.CallerLimits;
 import org.testng.annotations.Test;
 
-/** A caller's connection over time, with a clock that the test advances. */
+/** Tests caller connections over time, with a clock that the test advances. */
 public final class CallerConnectionTest {
   private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
   private static final CallerLimits LIMITS =
       new CallerLimits(8_192, 1_000, 3 * SECOND, 15 * SECOND);
   private static final String REQUEST = "GET /%s HTTP/1.1\r\nHost: h\r\n\r\n";
 
-  /** A caller on a connection, and time. */
+  /** A caller on an embedded channel, with its own clock. */
   private static final class Caller {
     private long nowNanos = 100 * SECOND;
-    private final List<Consumer<CallerResponse>> waiting = new ArrayList<>();
-    private final List<String> left = new ArrayList<>();
+    private final List<Consumer<CallerResponse>> responseConsumers = new ArrayList<>();
+    private final List<String> disconnected = new ArrayList<>();
     private final Clocks clocks =
         new Clocks(
             InstantSource.system(),
@@ -52,9 +52,9 @@
           }
 
           @Override
-          public Call start(CallerRequest request, Consumer<CallerResponse> answer) {
-            waiting.add(answer);
-            return () -> left.add(request.target());
+          public Call start(CallerRequest request, Consumer<CallerResponse> response) {
+            responseConsumers.add(response);
+            return () -> disconnected.add(request.target());
           }
         };
     private final CallerListener listener;
@@ -65,7 +65,7 @@
       connection = install();
     }
 
-    /** Another caller of the same instance. */
+    /** Creates another caller of the same instance. */
     Caller(CallerListener listener) {
       this.listener = listener;
       connection = install();
@@ -79,24 +79,24 @@
       return created;
     }
 
-    private void receive(String bytes) {
-      connection.bytesArrived();
+    private void send(String bytes) {
+      connection.bytesReceived();
       channel.writeInbound(Unpooled.copiedBuffer(bytes, StandardCharsets.US_ASCII));
     }
 
-    private void answer(int index) {
-      waiting
+    private void respond(int index) {
+      responseConsumers
           .get(index)
           .accept(new CallerResponse(HttpResponseStatus.OK, new DefaultHttpHeaders(), new byte[0]));
     }
 
-    private void pass(long seconds) {
+    private void advance(long seconds) {
       nowNanos += seconds * SECOND;
       connection.sweep(nowNanos);
       channel.runPendingTasks();
     }
 
-    private String written() {
+    private String received() {
       StringBuilder text = new StringBuilder();
       for (Object part = channel.readOutbound(); part != null; part = channel.readOutbound()) {
         text.append(((ByteBuf) part).toString(StandardCharsets.US_ASCII));
@@ -106,91 +106,93 @@
   }
 
   @Test
-  public void aConnectionThatStaysIdleIsClosed() {
+  public void idleConnectionIsClosed() {
     Caller caller = new Caller();
-    caller.receive(REQUEST.formatted("a"));
-    caller.answer(0);
-    caller.pass(14);
+    caller.send(REQUEST.formatted("a"));
+    caller.respond(0);
+    caller.advance(14);
     assertTrue(caller.channel.isOpen());
-    caller.pass(2);
+    caller.advance(2);
     assertFalse(caller.channel.isOpen());
   }
 
   /**
-   * An answer takes ten seconds, and the caller uses its connection again twelve seconds later,
-   * well within the idle time. Counting from the request would close it just then, under its next
-   * request.
+   * A response takes ten seconds, and the caller reuses its connection twelve seconds later, well
+   * within the idle timeout. Counting idle time from the request would close the connection while
+   * the caller sends the next request.
    */
   @Test
-  public void idleTimeCountsFromTheAnswer() {
+  public void idleTimeCountsFromTheResponse() {
     Caller caller = new Caller();
-    caller.receive(REQUEST.formatted("a"));
-    caller.pass(10);
-    caller.answer(0);
-    caller.pass(12);
+    caller.send(REQUEST.formatted("a"));
+    caller.advance(10);
+    caller.respond(0);
+    caller.advance(12);
     assertTrue(caller.channel.isOpen());
   }
 
   @Test
-  public void aHeadThatNeverEndsIsAnsweredAndClosed() {
+  public void incompleteHeadersAreRejectedAfterTheTimeout() {
     Caller caller = new Caller();
-    caller.receive("GET /a HTTP/1.1\r\nHo");
-    caller.pass(2);
+    caller.send("GET /a HTTP/1.1\r\nHo");
+    caller.advance(2);
     assertTrue(caller.channel.isOpen());
-    caller.pass(2);
-    assertTrue(caller.written().startsWith("HTTP/1.1 408 "));
+    caller.advance(2);
+    assertTrue(caller.received().startsWith("HTTP/1.1 408 "));
     assertFalse(caller.channel.isOpen());
   }
 
   /**
-   * A request that may run once waits behind a read. The read's answer could close the connection,
-   * and the caller would then send everything behind it again: it must not run before.
+   * A request that must not run twice is pipelined after a read. The response to the read could
+   * close the connection, and the caller would then repeat everything after it, so the request must
+   * not start before that response.
    */
   @Test
-  public void aRequestThatMayRunOnceWaitsUntilItIsTheOldest() {
+  public void nonIdempotentRequestWaitsUntilItIsTheOldest() {
     Caller caller = new Caller();
-    caller.receive(REQUEST.formatted("a") + REQUEST.formatted("once") + REQUEST.formatted("b"));
-    assertEquals(caller.waiting.size(), 1);
-    caller.answer(0);
-    assertEquals(caller.waiting.size(), 2);
-    caller.answer(1);
-    assertEquals(caller.waiting.size(), 3);
+    caller.send(REQUEST.formatted("a") + REQUEST.formatted("once") + REQUEST.formatted("b"));
+    assertEquals(caller.responseConsumers.size(), 1);
+    caller.respond(0);
+    assertEquals(caller.responseConsumers.size(), 2);
+    caller.respond(1);
+    assertEquals(caller.responseConsumers.size(), 3);
   }
 
   @Test
-  public void whenTheCallerLeavesItsRequestsAreTold() {
+  public void pendingRequestsAreNotifiedOfADisconnect() {
     Caller caller = new Caller();
-    caller.receive(REQUEST.formatted("a") + REQUEST.formatted("b"));
+    caller.send(REQUEST.formatted("a") + REQUEST.formatted("b"));
     caller.channel.finish();
     caller.channel.runPendingTasks();
-    assertEquals(caller.left, List.of("/a", "/b"));
+    assertEquals(caller.disconnected, List.of("/a", "/b"));
   }
 
   @Test
-  public void aBodyAboveTheLimitIsRefused() {
+  public void bodyAboveTheLimitIsRejected() {
     Caller caller = new Caller();
-    caller.receive("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5000\r\n\r\n");
-    assertTrue(caller.written().startsWith("HTTP/1.1 413 "));
-    assertEquals(caller.waiting.size(), 0);
+    caller.send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5000\r\n\r\n");
+    assertTrue(caller.received().startsWith("HTTP/1.1 413 "));
+    assertEquals(caller.responseConsumers.size(), 0);
   }
 
   /**
-   * Callers send large bodies until the memory set aside for them is used up. The next one must be
-   * refused with the promise that it has not run, and what was answered must make room again.
+   * Callers send large bodies until the memory limit for bodies is reached. The next request must
+   * be rejected with status 503, which promises that it was not executed, and answered requests
+   * must release their memory.
    */
   @Test
-  public void bodiesBeyondTheMemoryForThemAreRefusedUntilThereIsRoom() {
+  public void bodiesAboveTheMemoryLimitAreRejectedUntilMemoryIsReleased() {
     Caller caller = new Caller();
     CallerListener listener = caller.listener;
     assertTrue(listener.reserve(32 << 20));
-    caller.receive("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc");
-    assertTrue(caller.written().startsWith("HTTP/1.1 503 "));
+    caller.send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc");
+    assertTrue(caller.received().startsWith("HTTP/1.1 503 "));
     listener.release(32 << 20);
     Caller next = new Caller(listener);
-    next.receive("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc");
-    assertEquals(next.waiting.size(), 1);
+    next.send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc");
+    assertEquals(next.responseConsumers.size(), 1);
     assertFalse(listener.reserve(32 << 20));
-    next.answer(0);
+    next.respond(0);
     assertTrue(listener.reserve(32 << 20));
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/connection/ChangedLimitsTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/connection/ChangedLimitsTest.java
@@ -23,17 +23,17 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Connections that were opened under an earlier configuration. */
+/** Tests that changed limits apply to connections opened under an earlier configuration. */
 public final class ChangedLimitsTest {
-  private static final long LONG_NANOS = TimeUnit.MINUTES.toNanos(1);
-  private static final long SHORT_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+  private static final long LONG_TIMEOUT_NANOS = TimeUnit.MINUTES.toNanos(1);
+  private static final long SHORT_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
   private static final int TIMEOUT_MILLIS = 10_000;
-  private static final int SMALL = 500;
-  private static final int LARGE = 20_000;
+  private static final int SMALL_BYTES = 500;
+  private static final int LARGE_BYTES = 20_000;
 
-  private static final List<String> REFUSALS = new CopyOnWriteArrayList<>();
+  private static final List<String> REJECTIONS = new CopyOnWriteArrayList<>();
 
-  private static final RequestHandler ECHO =
+  private static final RequestHandler ACCEPT_ALL =
       new RequestHandler() {
         @Override
         public boolean idempotent(CallerRequest request) {
@@ -41,15 +41,16 @@
         }
 
         @Override
-        public Call start(CallerRequest request, Consumer<CallerResponse> answer) {
-          answer.accept(
+        public Call start(CallerRequest request, Consumer<CallerResponse> response) {
+          response.accept(
               new CallerResponse(HttpResponseStatus.OK, new DefaultHttpHeaders(), new byte[0]));
           return () -> {};
         }
 
         @Override
         public void rejected(HttpResponseStatus status, String reason, Optional<HttpRequest> head) {
-          REFUSALS.add(status.code() + " " + reason + " " + head.map(HttpRequest::uri).orElse("-"));
+          REJECTIONS.add(
+              status.code() + " " + reason + " " + head.map(HttpRequest::uri).orElse("-"));
         }
       };
 
@@ -59,15 +60,15 @@
 
   @BeforeMethod
   public void open() throws IOException {
-    REFUSALS.clear();
-    limits.set(new CallerLimits(SMALL, SMALL, LONG_NANOS, LONG_NANOS));
+    REJECTIONS.clear();
+    limits.set(new CallerLimits(SMALL_BYTES, SMALL_BYTES, LONG_TIMEOUT_NANOS, LONG_TIMEOUT_NANOS));
     loop = Loop.start();
-    CallerListener listener = new CallerListener(loop, Clocks.system(), ECHO, limits::get);
+    CallerListener listener = new CallerListener(loop, Clocks.system(), ACCEPT_ALL, limits::get);
     listener.bind(new InetSocketAddress("127.0.0.1", 0));
     caller = new Socket();
     caller.connect(listener.address());
     caller.setSoTimeout(TIMEOUT_MILLIS);
-    assertEquals(ask("", ""), "200");
+    assertEquals(post("", ""), "200");
   }
 
   @AfterMethod
@@ -76,15 +77,15 @@
     loop.stop();
   }
 
-  private String ask(String header, String body) throws IOException {
+  private String post(String header, String body) throws IOException {
     String request =
         "POST / HTTP/1.1\r\nHost: h\r\nX: %s\r\nContent-Length: %d\r\n\r\n%s"
             .formatted(header, body.length(), body);
     caller.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
-    return status();
+    return readStatus();
   }
 
-  private String status() throws IOException {
+  private String readStatus() throws IOException {
     InputStream in = caller.getInputStream();
     StringBuilder head = new StringBuilder();
     while (head.indexOf("\r\n\r\n") < 0) {
@@ -97,36 +98,37 @@
     return head.toString().split(" ", 3)[1];
   }
 
-  /** Guards against proper requests that are refused by limits that are no longer in force. */
+  /** Guards against rejecting valid requests by limits that are no longer in force. */
   @Test
-  public void raisedLimitsHoldOnOpenConnections() throws IOException {
-    limits.set(new CallerLimits(LARGE, LARGE, LONG_NANOS, LONG_NANOS));
-    assertEquals(ask("", "b".repeat(2 * SMALL)), "200");
-    assertEquals(ask("h".repeat(2 * SMALL), ""), "200");
+  public void raisedLimitsApplyToOpenConnections() throws IOException {
+    limits.set(new CallerLimits(LARGE_BYTES, LARGE_BYTES, LONG_TIMEOUT_NANOS, LONG_TIMEOUT_NANOS));
+    assertEquals(post("", "b".repeat(2 * SMALL_BYTES)), "200");
+    assertEquals(post("h".repeat(2 * SMALL_BYTES), ""), "200");
   }
 
   @Test
-  public void loweredLimitsHoldOnOpenConnections() throws IOException {
-    limits.set(new CallerLimits(SMALL, SMALL / 2, LONG_NANOS, LONG_NANOS));
-    assertEquals(ask("", "b".repeat(SMALL)), "413");
+  public void loweredLimitsApplyToOpenConnections() throws IOException {
+    limits.set(
+        new CallerLimits(SMALL_BYTES, SMALL_BYTES / 2, LONG_TIMEOUT_NANOS, LONG_TIMEOUT_NANOS));
+    assertEquals(post("", "b".repeat(SMALL_BYTES)), "413");
   }
 
-  /** Guards against proper requests that are refused without a trace in the logs. */
+  /** Guards against rejections that leave no trace in the logs. */
   @Test
-  public void aRefusalIsTold() throws IOException {
-    ask("", "b".repeat(2 * SMALL));
-    assertEquals(REFUSALS, List.of("413 body /"));
+  public void rejectedBodyIsReported() throws IOException {
+    post("", "b".repeat(2 * SMALL_BYTES));
+    assertEquals(REJECTIONS, List.of("413 body /"));
   }
 
   @Test
-  public void aRefusalOfAHeadIsTold() throws IOException {
-    assertEquals(ask("h".repeat(2 * SMALL), ""), "400");
-    assertEquals(REFUSALS, List.of("400 TooLongHttpHeaderException /"));
+  public void rejectedHeadersAreReported() throws IOException {
+    assertEquals(post("h".repeat(2 * SMALL_BYTES), ""), "400");
+    assertEquals(REJECTIONS, List.of("400 TooLongHttpHeaderException /"));
   }
 
   @Test
-  public void anotherIdleTimeoutHoldsOnOpenConnections() throws IOException {
-    limits.set(new CallerLimits(SMALL, SMALL, LONG_NANOS, SHORT_NANOS));
-    assertEquals(status(), "closed");
+  public void changedIdleTimeoutAppliesToOpenConnections() throws IOException {
+    limits.set(new CallerLimits(SMALL_BYTES, SMALL_BYTES, LONG_TIMEOUT_NANOS, SHORT_TIMEOUT_NANOS));
+    assertEquals(readStatus(), "closed");
   }
 }
