--- a/front/src/main/java/org/magnoliaswitch/front/logging/LogLineEncoder.java
+++ b/front/src/main/java/org/magnoliaswitch/front/logging/LogLineEncoder.java
@@ -6,13 +6,13 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Instant;
 
-/** Writes an event as one line of key=value pairs. */
+/** Encodes a log event as one line of key=value pairs. */
 final class LogLineEncoder extends EncoderBase<ILoggingEvent> {
-  private static final byte[] NOTHING = new byte[0];
+  private static final byte[] NO_BYTES = new byte[0];
 
   @Override
   public byte[] headerBytes() {
-    return NOTHING;
+    return NO_BYTES;
   }
 
   @Override
@@ -20,11 +20,11 @@
     StringBuilder line = new StringBuilder(160);
     line.append("time=").append(Instant.ofEpochMilli(event.getTimeStamp()));
     line.append(" level=").append(event.getLevel());
-    line.append(' ').append(oneLine(event.getFormattedMessage()));
+    line.append(' ').append(removeLineBreaks(event.getFormattedMessage()));
     IThrowableProxy cause = event.getThrowableProxy();
     if (cause != null) {
       line.append(" exception=").append(cause.getClassName());
-      line.append(" cause=").append(oneLine(String.valueOf(cause.getMessage())));
+      line.append(" cause=").append(removeLineBreaks(String.valueOf(cause.getMessage())));
       if (cause.getStackTraceElementProxyArray().length > 0) {
         line.append(" at=")
             .append(cause.getStackTraceElementProxyArray()[0].getStackTraceElement());
@@ -33,13 +33,13 @@
     return line.append('\n').toString().getBytes(StandardCharsets.UTF_8);
   }
 
-  /** A request's own id could hold a line break and forge a line. */
-  private static String oneLine(String text) {
+  /** Removes line breaks, since a caller could forge log lines with a request id that has one. */
+  private static String removeLineBreaks(String text) {
     return text.replace('\n', ' ').replace('\r', ' ');
   }
 
   @Override
   public byte[] footerBytes() {
-    return NOTHING;
+    return NO_BYTES;
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/logging/LogSetup.java
+++ b/front/src/main/java/org/magnoliaswitch/front/logging/LogSetup.java
@@ -13,20 +13,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sets logging up in code: lines go to standard output through a bounded queue.
+ * Configures logging in code: lines are written to standard output through a bounded queue.
  *
- * <p>Reading a configuration file took half of the processor time of a start, which callers of a
- * restarted machine wait for. The queue drops what a blocked output cannot take, so that no request
- * waits for its log line.
+ * <p>Reading a configuration file would take half of the processor time of a start, and callers of
+ * a restarted machine wait for the start. When the output blocks, the queue drops lines, so that no
+ * request waits for its log line.
  */
 public final class LogSetup extends ContextAwareBase implements Configurator {
-  /** Lines that wait for the output: some seconds at the bounded rate. */
-  private static final int QUEUE_LINES = 2_048;
+  /** Capacity of the queue: some seconds of lines at the limited logging rate. */
+  private static final int QUEUE_CAPACITY = 2_048;
 
-  /** Longest wait for the queue to empty at the end of the process. */
-  private static final int FLUSH_MILLIS = 200;
+  /** Time limit for writing out the queue when the process stops. */
+  private static final int FLUSH_TIMEOUT_MILLIS = 200;
 
-  private static final String OWN_LOGGERS = "org.magnoliaswitch";
+  private static final String PROJECT_LOGGERS = "org.magnoliaswitch";
 
   @Override
   public ExecutionStatus configure(LoggerContext context) {
@@ -40,23 +40,23 @@
     output.start();
     AsyncAppender queue = new AsyncAppender();
     queue.setContext(context);
-    queue.setQueueSize(QUEUE_LINES);
+    queue.setQueueSize(QUEUE_CAPACITY);
     queue.setDiscardingThreshold(0);
     queue.setNeverBlock(true);
-    queue.setMaxFlushTime(FLUSH_MILLIS);
+    queue.setMaxFlushTime(FLUSH_TIMEOUT_MILLIS);
     queue.addAppender(output);
     queue.start();
     Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
     root.setLevel(Level.WARN);
     root.addAppender(queue);
-    context.getLogger(OWN_LOGGERS).setLevel(Level.INFO);
+    context.getLogger(PROJECT_LOGGERS).setLevel(Level.INFO);
     return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
   }
 
   /**
-   * Prints problems of the log itself. Without a listener the library looks for problems at the end
-   * of its set-up, and loads all time zones for their time stamps, while a restarted instance's
-   * callers wait.
+   * Prints problems of the logging itself. Without a listener, the library checks for problems
+   * after the configuration and loads all time zones to print their time stamps, while the callers
+   * of a restarted instance wait.
    */
   private static final class ProblemPrinter implements StatusListener {
     @Override
@@ -67,7 +67,7 @@
     }
   }
 
-  /** Writes out what waits; for the end of the process. */
+  /** Writes out the queued lines and stops logging; for the end of the process. */
   public static void flush() {
     if (LoggerFactory.getILoggerFactory() instanceof LoggerContext context) {
       context.stop();
--- a/front/src/main/java/org/magnoliaswitch/front/logging/package-info.java
+++ b/front/src/main/java/org/magnoliaswitch/front/logging/package-info.java
@@ -1,4 +1,4 @@
-/** How log lines leave the process: without blocking it, and without a slow set-up. */
+/** Logging to standard output that neither blocks requests nor slows down the start. */
 @NullMarked
 package org.magnoliaswitch.front.logging;
 
--- a/front/src/main/java/org/magnoliaswitch/front/loop/Channels.java
+++ b/front/src/main/java/org/magnoliaswitch/front/loop/Channels.java
@@ -10,8 +10,8 @@
 import java.net.InetSocketAddress;
 
 /**
- * Channel operations whose futures nobody needs: a write or close that fails ends the channel, and
- * its handler is told of that.
+ * Channel operations whose futures can be ignored: a failed write or close closes the channel, and
+ * its handler is notified of that.
  */
 public final class Channels {
   private Channels() {}
@@ -38,7 +38,7 @@
     var unused = channel.writeAndFlush(message);
   }
 
-  /** Closes a channel once a last message is written. */
+  /** Writes and flushes a message, then runs an action whether or not the write succeeded. */
   public static void writeThen(Channel channel, Object message, Runnable action) {
     var unused = channel.writeAndFlush(message).addListener(done -> action.run());
   }
--- a/front/src/main/java/org/magnoliaswitch/front/loop/Loop.java
+++ b/front/src/main/java/org/magnoliaswitch/front/loop/Loop.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One event loop: a thread that runs the callbacks of its channels, and timers.
+ * An event loop: a thread that runs the callbacks of its channels, tasks and timers.
  *
- * <p>A task that throws is logged here; the event loop alone would keep the exception in a future
- * that nobody reads, and a periodic task would end in silence.
+ * <p>Exceptions of tasks are logged. The underlying event loop would only store the exception in a
+ * future that nobody reads, and would silently cancel a periodic task.
  */
 public final class Loop {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -22,7 +22,7 @@
     this.events = events;
   }
 
-  /** Starts a loop with a thread of its own. */
+  /** Starts a loop with its own thread. */
   public static Loop start() {
     return new Loop(
         (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next());
@@ -33,41 +33,42 @@
     return events;
   }
 
-  /** Runs a task soon, after the callbacks in progress. */
+  /** Runs a task on the loop after the callbacks in progress. */
   public void execute(Runnable task) {
-    events.execute(guarded(task));
+    events.execute(loggingExceptions(task));
   }
 
-  /** A timer that can be taken back. */
+  /** A timer that can be cancelled. */
   @FunctionalInterface
   public interface Timer {
-    /** Keeps the task from running if it has not begun. */
+    /** Prevents the task from running if it has not started. */
     void cancel();
   }
 
-  /** Runs a task once after a while. */
+  /** Runs a task once after a delay in nanoseconds. */
   public Timer after(long nanos, Runnable task) {
     ScheduledFuture<?> future =
-        events.schedule(guarded(task), Math.max(0, nanos), TimeUnit.NANOSECONDS);
+        events.schedule(loggingExceptions(task), Math.max(0, nanos), TimeUnit.NANOSECONDS);
     return () -> future.cancel(false);
   }
 
-  /** Runs a task once after a while. */
+  /** Runs a task once after a delay in milliseconds. */
   public Timer afterMillis(long millis, Runnable task) {
     return after(TimeUnit.MILLISECONDS.toNanos(millis), task);
   }
 
-  /** Runs a task again and again. */
+  /** Runs a task periodically, first after one period. */
   public void everyMillis(long millis, Runnable task) {
-    var unused = events.scheduleAtFixedRate(guarded(task), millis, millis, TimeUnit.MILLISECONDS);
+    var unused =
+        events.scheduleAtFixedRate(loggingExceptions(task), millis, millis, TimeUnit.MILLISECONDS);
   }
 
-  /** Ends the thread; for tests. */
+  /** Stops the thread; for tests. */
   public void stop() {
     var unused = events.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  private static Runnable guarded(Runnable task) {
+  private static Runnable loggingExceptions(Runnable task) {
     return () -> {
       try {
         task.run();
--- a/front/src/main/java/org/magnoliaswitch/front/loop/package-info.java
+++ b/front/src/main/java/org/magnoliaswitch/front/loop/package-info.java
@@ -1,4 +1,4 @@
-/** Event loops and channels of the process, with failures of their tasks logged. */
+/** Event loops and channel operations, with failures of tasks logged. */
 @NullMarked
 package org.magnoliaswitch.front.loop;
 
--- a/front/src/test/java/org/magnoliaswitch/front/logging/LogLineEncoderTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/logging/LogLineEncoderTest.java
@@ -11,7 +11,7 @@
 import org.jspecify.annotations.Nullable;
 import org.testng.annotations.Test;
 
-/** The form of log lines. */
+/** Tests the format of log lines. */
 public final class LogLineEncoderTest {
   private static String line(String message, @Nullable Throwable cause) {
     Logger logger = new LoggerContext().getLogger("x");
@@ -21,20 +21,20 @@
   }
 
   @Test
-  public void anEventIsOneLine() {
+  public void eventIsEncodedAsOneLine() {
     assertEquals(
         line("event=end a=1", null), "time=1970-01-01T00:00:00Z level=INFO event=end a=1\n");
   }
 
-  /** A caller sends an id with a line break, to make the log tell of a request that never was. */
+  /** Guards against a caller that forges a log line with a line break in a request id. */
   @Test
-  public void aLineBreakInAValueForgesNoLine() {
+  public void lineBreakInAValueIsRemoved() {
     String line = line("event=end request=1\nevent=end request=2", null);
     assertEquals(line.indexOf('\n'), line.length() - 1);
   }
 
   @Test
-  public void anExceptionIsNamedOnTheSameLine() {
+  public void exceptionIsNamedOnTheSameLine() {
     String line = line("event=task_failed", new IllegalStateException("two\nlines"));
     assertTrue(line.contains("exception=java.lang.IllegalStateException cause=two lines"), line);
     assertEquals(line.indexOf('\n'), line.length() - 1);
