--- a/front/src/main/java/org/magnoliaswitch/front/FrontProcess.java
+++ b/front/src/main/java/org/magnoliaswitch/front/FrontProcess.java
@@ -27,13 +27,14 @@
 import org.magnoliaswitch.front.version.RouteTable;
 
 /**
- * Wires an instance that serves callers: one event loop for all requests, one for news.
+ * Assembles an instance that serves callers, with one event loop for all requests and one for the
+ * synchronization of state.
  *
- * <p>Wired by hand: an injector costs a tenth of a second of processor time at each restart, which
- * callers wait for.
+ * <p>It is wired by hand, because a dependency injection framework costs a tenth of a second of
+ * processor time at each restart, and callers wait for the restart.
  */
 public final class FrontProcess {
-  /** Instances assumed until peers tell how many there are. */
+  /** Number of instances assumed until peers report the actual number. */
   private static final int ASSUMED_INSTANCES = 20;
 
   private FrontProcess() {}
@@ -41,7 +42,7 @@
   /**
    * Starts an instance.
    *
-   * @param source makes the source of configuration and discovery
+   * @param source factory of the source of configuration and discovery
    */
   public static Front start(FrontSettings settings, HeaderNames names, StateSource.Factory source) {
     Clocks clocks = Clocks.system();
--- a/front/src/main/java/org/magnoliaswitch/front/package-info.java
+++ b/front/src/main/java/org/magnoliaswitch/front/package-info.java
@@ -1,4 +1,4 @@
-/** The instance that serves callers on small machines. */
+/** An instance of the load balancer that serves callers and runs on small machines. */
 @NullMarked
 package org.magnoliaswitch.front;
 
--- a/front/src/test/java/org/magnoliaswitch/front/FrontArchitectureTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/FrontArchitectureTest.java
@@ -8,7 +8,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.testng.annotations.Test;
 
-/** Layers by life span, and decisions free of input and output. */
+/** Tests that packages are layered by life span, and that decisions do no input or output. */
 public final class FrontArchitectureTest {
   private final JavaClasses classes =
       new ClassFileImporter()
@@ -16,12 +16,12 @@
           .importPackages("org.magnoliaswitch.front");
 
   @Test
-  public void packagesHaveNoCycles() {
+  public void packagesAreFreeOfCycles() {
     slices().matching("org.magnoliaswitch.front.(*)..").should().beFreeOfCycles().check(classes);
   }
 
   @Test
-  public void decisionsKnowNeitherNetworkNorClock() {
+  public void decisionsDependOnNeitherNetworkNorClock() {
     noClasses()
         .that()
         .resideInAnyPackage("..front.load..", "..front.version..")
@@ -32,7 +32,7 @@
   }
 
   @Test
-  public void nothingThatLivesLongerUsesRequests() {
+  public void longerLivedPackagesDoNotDependOnRequests() {
     noClasses()
         .that()
         .resideInAnyPackage("..front.process..", "..front.connection..", "..front.peer..")
--- a/front/src/test/java/org/magnoliaswitch/front/load/LoadReplayTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/LoadReplayTest.java
@@ -119,7 +119,7 @@
       Optional<ServerState> chosen = choose(instance, nanos(now));
       if (chosen.isPresent()) {
         int server = states.get(instance).indexOf(chosen.get());
-        if (models.get(server).take(new ServerModel.Job(instance, now, Math.max(20, work)))) {
+        if (models.get(server).accept(new ServerModel.Job(instance, now, Math.max(20, work)))) {
           chosen.get().requestStarted();
         }
       }
--- a/front/src/test/java/org/magnoliaswitch/front/testing/Bursts.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/Bursts.java
@@ -3,18 +3,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Bursts in which every instance has a request for one server at every moment. */
+/** Simulates bursts in which every instance has a request for one server at every time step. */
 public final class Bursts {
-  /** Decides whether an instance may send now, and counts the send if it may. */
+  /** Decides whether an instance may send, and counts the request if it may. */
   @FunctionalInterface
   public interface SendPolicy {
-    /** Whether an instance sends at a moment. */
+    /** Whether an instance sends at a point in time. */
     boolean send(int instance, long nowNanos);
   }
 
   private Bursts() {}
 
-  /** Times at which instances send, with a moment every step. */
+  /** Returns the times at which instances send, one entry for each request. */
   public static List<Long> simulate(
       SendPolicy policy, int instances, long fromNanos, long spanNanos, long stepNanos) {
     List<Long> sends = new ArrayList<>();
@@ -28,7 +28,7 @@
     return sends;
   }
 
-  /** The most sends in any span. */
+  /** Returns the largest number of requests in any window of the given length. */
   public static long maxInWindow(List<Long> sends, long spanNanos) {
     long most = 0;
     for (long first : sends) {
--- a/front/src/test/java/org/magnoliaswitch/front/testing/CorruptedMessages.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/CorruptedMessages.java
@@ -6,27 +6,31 @@
 import java.util.Arrays;
 import java.util.Random;
 
-/** Messages that are cut short and have a wrong byte. */
+/** Checks decoders with messages that are truncated and have one random byte. */
 public final class CorruptedMessages {
-  private static final int COUNT = 5_000;
+  private static final int REPETITIONS = 5_000;
 
-  /** Reads a message. */
+  /** Decodes messages. */
   @FunctionalInterface
   public interface Decoder {
-    /** Decodes a message; anything malformed is an {@link IOException}. */
+    /**
+     * Decodes a message.
+     *
+     * @throws IOException if the message is malformed
+     */
     void decode(byte[] bytes) throws IOException;
   }
 
   private CorruptedMessages() {}
 
-  /** Checks that a decoder reads or refuses whatever becomes of a message. */
-  public static void assertDecodedOrRejected(byte[] good, long seed, Decoder decoder) {
+  /** Asserts that a decoder decodes corrupted messages or rejects them with an IOException. */
+  public static void assertDecodedOrRejected(byte[] valid, long seed, Decoder decoder) {
     Random random = new Random(seed);
-    for (int i = 0; i < COUNT; i++) {
-      byte[] bad = Arrays.copyOf(good, 1 + random.nextInt(good.length));
-      bad[random.nextInt(bad.length)] = (byte) random.nextInt();
+    for (int i = 0; i < REPETITIONS; i++) {
+      byte[] corrupted = Arrays.copyOf(valid, 1 + random.nextInt(valid.length));
+      corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt();
       try {
-        decoder.decode(bad);
+        decoder.decode(corrupted);
       } catch (IOException e) {
         assertEquals(e.getClass(), IOException.class);
       }
--- a/front/src/test/java/org/magnoliaswitch/front/testing/ManualClock.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/ManualClock.java
@@ -4,7 +4,7 @@
 import java.time.InstantSource;
 import org.magnoliaswitch.core.clock.Clocks;
 
-/** Monotonic time that stands still until a test advances it. */
+/** Monotonic time that only a test advances. */
 public final class ManualClock extends Ticker {
   private long nanos;
 
@@ -13,12 +13,12 @@
     return nanos;
   }
 
-  /** Lets time pass. */
+  /** Advances the time. */
   public void advance(long byNanos) {
     nanos += byNanos;
   }
 
-  /** The clocks of a process that lives in this time. */
+  /** Clocks whose monotonic time is this one. */
   public Clocks clocks() {
     return new Clocks(InstantSource.system(), this);
   }
--- a/front/src/test/java/org/magnoliaswitch/front/testing/Requests.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/Requests.java
@@ -12,21 +12,21 @@
 import org.magnoliaswitch.front.version.Route;
 import org.magnoliaswitch.front.version.WeightedService;
 
-/** Requests of a caller that has all the time it wants. */
+/** Requests of a caller without a tight deadline. */
 public final class Requests {
-  private static final long MINUTE = TimeUnit.MINUTES.toNanos(1);
+  private static final long MINUTE_NANOS = TimeUnit.MINUTES.toNanos(1);
 
   private Requests() {}
 
-  /** The one route of a test, to service {@code s}. */
+  /** A route to service {@code s}, as the only route of a test. */
   public static Route route(boolean idempotent) {
     List<WeightedService> parts = List.of(new WeightedService("s", 1));
-    return new Route("r", "h", "/", idempotent, MINUTE, MINUTE, 0, 3, parts);
+    return new Route("r", "h", "/", idempotent, MINUTE_NANOS, MINUTE_NANOS, 0, 3, parts);
   }
 
-  /** Brings a request; the answer comes when it is final. */
+  /** Starts a request; the future completes with the final response. */
   public static CompletableFuture<CallerResponse> ask(Environment environment) {
-    CompletableFuture<CallerResponse> answer = new CompletableFuture<>();
+    CompletableFuture<CallerResponse> response = new CompletableFuture<>();
     CallerRequest request =
         new CallerRequest(
             HttpMethod.POST,
@@ -38,7 +38,7 @@
             "127.0.0.1");
     environment
         .loop()
-        .execute(() -> new FrontDispatcher(environment).start(request, answer::complete));
-    return answer;
+        .execute(() -> new FrontDispatcher(environment).start(request, response::complete));
+    return response;
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/testing/RunningFront.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/RunningFront.java
@@ -33,15 +33,18 @@
 import org.magnoliaswitch.front.version.Warmup;
 import org.magnoliaswitch.front.version.WeightedService;
 
-/** An instance on free ports with a fixed configuration: {@code /safe/} and {@code /once/}. */
+/**
+ * An instance on free ports with a fixed configuration: an idempotent route {@code /safe/} and a
+ * route {@code /once/} that is not idempotent.
+ */
 public final class RunningFront {
-  private static final SharedRetryBudget.Limits REPEATS =
+  private static final SharedRetryBudget.Limits RETRY_BUDGET =
       new SharedRetryBudget.Limits(0.5, 100, TimeUnit.SECONDS.toNanos(10));
 
   private final Front front;
 
   /**
-   * Starts an instance and waits until it knows its servers.
+   * Starts an instance and waits until its configuration is in force.
    *
    * @param timeoutMillis timeout of both routes
    */
@@ -50,7 +53,7 @@
   }
 
   /**
-   * Starts several instances that tell each other their news; the first one is their seed.
+   * Starts several instances that exchange their state; the first one is their seed.
    *
    * @param timeoutMillis timeout of both routes
    */
@@ -91,7 +94,7 @@
             false,
             0,
             TimeUnit.SECONDS.toNanos(2),
-            REPEATS,
+            RETRY_BUDGET,
             100,
             ColdShare.Bounds.NONE,
             Map.of(),
@@ -101,13 +104,13 @@
             settings,
             TestHeaders.NAMES,
             (loop, log, metrics) -> new Fixed(routes, new ServerList(1, entries)));
-    String answer = "503";
-    while (answer.contains("no_configuration") || answer.equals("503")) {
-      answer = ask("GET", "/none/", 100);
+    String response = "503";
+    while (response.contains("no_configuration") || response.equals("503")) {
+      response = ask("GET", "/none/", 100);
     }
   }
 
-  /** Ends the instance. */
+  /** Stops the instance gracefully. */
   public void stop(Runnable stopped) {
     front.stop(stopped);
   }
@@ -123,7 +126,7 @@
     return new Route(name, "h", "/" + name + "/", idempotent, timeout, timeout / 3, 0, 2, parts);
   }
 
-  /** Sends a request on a connection of its own and returns all bytes of the answer. */
+  /** Sends a request on a new connection and returns all bytes of the response. */
   public String ask(String method, String path, long deadlineMillis) throws IOException {
     try (Socket socket = connect()) {
       send(socket, method, path, deadlineMillis, "Connection: close\r\n");
@@ -131,7 +134,10 @@
     }
   }
 
-  /** The same, as a caller at another address of the loopback range. */
+  /**
+   * Sends a request on a new connection from the given address of the loopback range, and returns
+   * all bytes of the response.
+   */
   public String askFrom(String address, String method, String path, long deadlineMillis)
       throws IOException {
     InetAddress local = InetAddress.getByName(address);
@@ -141,7 +147,7 @@
     }
   }
 
-  /** Opens a caller's connection. */
+  /** Opens a connection to the callers' port. */
   public Socket connect() throws IOException {
     return new Socket("127.0.0.1", front.callerAddress().getPort());
   }
@@ -157,7 +163,7 @@
     socket.getOutputStream().flush();
   }
 
-  /** Reads until a text has come. */
+  /** Reads until the received bytes end with a text, or the connection is closed. */
   public static String readUntil(Socket socket, String end) throws IOException {
     InputStream in = socket.getInputStream();
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -171,7 +177,7 @@
     return bytes.toString(StandardCharsets.ISO_8859_1);
   }
 
-  /** A source that never changes. */
+  /** A source whose state never changes. */
   private record Fixed(RouteTable routes, ServerList servers) implements StateSource {
     @Override
     public void operatorState(Consumer<Read<OperatorState>> listener) {
@@ -180,7 +186,7 @@
 
     @Override
     public void nextOperatorState(long waitMillis, Consumer<Read<OperatorState>> listener) {
-      // Nothing ever changes, so the wait never ends.
+      // The state never changes, so the listener is never called.
     }
 
     @Override
--- a/front/src/test/java/org/magnoliaswitch/front/testing/ScriptedServer.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/ScriptedServer.java
@@ -16,16 +16,16 @@
 import java.util.stream.Stream;
 import org.magnoliaswitch.front.version.ServerEntry;
 
-/** A backend server that does to each request what a test says, down to the bytes. */
+/** A backend server that handles each request with a script, down to the bytes on the wire. */
 public final class ScriptedServer implements AutoCloseable {
-  /** What to do with one request. */
+  /** Handles the requests of a test. */
   @FunctionalInterface
   public interface Script {
     /** Handles a request; returns whether the connection is kept. */
     boolean handle(Received request) throws IOException, InterruptedException;
   }
 
-  /** One request as it came. */
+  /** A received request. */
   public static final class Received {
     private final String head;
     private final Socket socket;
@@ -35,7 +35,7 @@
       this.socket = socket;
     }
 
-    /** Value of a header, or an empty text. */
+    /** Value of a header, or an empty string if it is missing. */
     public String header(String name) {
       int at = head.toLowerCase(Locale.ROOT).indexOf("\r\n" + name.toLowerCase(Locale.ROOT) + ":");
       if (at < 0) {
@@ -50,13 +50,13 @@
       return head.substring(0, head.indexOf("\r\n"));
     }
 
-    /** Writes bytes as they are. */
+    /** Writes raw bytes. */
     public void write(String bytes) throws IOException {
       socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
       socket.getOutputStream().flush();
     }
 
-    /** Writes a whole answer that echoes the request's id. */
+    /** Writes a complete response that echoes the request's id. */
     public boolean answer(int status, String body) throws IOException {
       write(
           "HTTP/1.1 %d X\r\nRequest-Id: %s\r\nContent-Length: %d\r\n\r\n%s"
@@ -64,7 +64,7 @@
       return true;
     }
 
-    /** Writes an answer without a body that echoes the request's id and has further headers. */
+    /** Writes a response without a body that echoes the request's id and has further headers. */
     public boolean answerWith(int status, String... headers) throws IOException {
       String lines = Stream.of(headers).map(line -> line + "\r\n").collect(Collectors.joining());
       write(
@@ -73,13 +73,13 @@
       return true;
     }
 
-    /** Ends the connection with a reset. */
+    /** Makes the connection close with a reset. */
     public boolean reset() throws IOException {
       socket.setSoLinger(true, 0);
       return false;
     }
 
-    /** Lets what was written arrive before something harsh follows. */
+    /** Gives written bytes time to arrive before the connection is reset or closed. */
     public void awaitCloseOrPause() throws IOException {
       socket.setSoTimeout(50);
       try {
@@ -89,7 +89,7 @@
       }
     }
 
-    /** Waits until the other side closes. */
+    /** Waits until the other side closes the connection. */
     public void awaitClose() throws IOException {
       int unused = socket.getInputStream().read();
     }
@@ -111,18 +111,18 @@
     Thread.ofVirtual().start(this::accept);
   }
 
-  /** How discovery lists it. */
+  /** The discovery entry of the server. */
   public ServerEntry entry() {
     return new ServerEntry(
         id, 0, "s", "127.0.0.1", listener.getLocalPort(), "here", Servers.SLOTS, false, 0);
   }
 
-  /** Requests that came, health checks left out. */
+  /** The received requests without health checks. */
   public List<Received> received() {
     return received;
   }
 
-  /** Waits until the first request has come. */
+  /** Waits until the first request other than a health check has been received. */
   public void awaitFirst() throws InterruptedException {
     first.await();
   }
@@ -163,7 +163,7 @@
         keep = script.handle(request);
       }
     } catch (IOException e) {
-      // The other side went away, as some tests mean it to.
+      // Some tests close the connection on purpose.
       return;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/front/src/test/java/org/magnoliaswitch/front/testing/Servers.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/Servers.java
@@ -8,19 +8,19 @@
 import org.magnoliaswitch.front.load.Timeliness;
 import org.magnoliaswitch.front.version.ServerEntry;
 
-/** Backend servers for tests of decisions. */
+/** Factories of backend servers for tests of load decisions. */
 public final class Servers {
   /** Slots of each server. */
   public static final int SLOTS = 6;
 
   private Servers() {}
 
-  /** A discovery entry. */
+  /** A discovery entry of a warm server. */
   public static ServerEntry entry(String id, boolean draining) {
     return new ServerEntry(id, 0, "s", "127.0.0.1", 1, "here", SLOTS, draining, 0);
   }
 
-  /** The entry of the same server after it has started again, ready and warm. */
+  /** The entry of the same server after a restart, neither draining nor warming up. */
   public static ServerEntry restarted(ServerEntry before) {
     return new ServerEntry(
         before.id(),
@@ -34,12 +34,12 @@
         0);
   }
 
-  /** The choice for a request of which nothing but this matters. */
+  /** The context of a placement decision for a request without a time limit. */
   public static PlacementContext context(Timeliness timeliness, ServiceLoad load, long nowNanos) {
     return context(1, Long.MAX_VALUE, timeliness, load, nowNanos);
   }
 
-  /** The choice for a request at an instance in the servers' data centre. */
+  /** The context of a placement decision at an instance in the servers' data centre. */
   public static PlacementContext context(
       double expectedNanos,
       long allowedNanos,
@@ -50,7 +50,7 @@
         expectedNanos, allowedNanos, timeliness, load, "here", Mechanisms.ALL, nowNanos);
   }
 
-  /** A server that has told its load just now. */
+  /** A server that has just reported its load. */
   public static ServerState reporting(String id, int running, double slowness, long nowNanos) {
     ServerState state = new ServerState(entry(id, false), nowNanos);
     state.recordSample(new LoadSample(running, 0, SLOTS, slowness), 0, nowNanos);
--- a/front/src/test/java/org/magnoliaswitch/front/testing/TestEnvironment.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/TestEnvironment.java
@@ -32,18 +32,18 @@
 import org.magnoliaswitch.front.version.ServerEntry;
 import org.magnoliaswitch.front.version.ServerList;
 
-/** The parts of a process around one request, without listeners. */
+/** Creates the environment of an instance for tests of single requests, without open ports. */
 public final class TestEnvironment {
   private TestEnvironment() {}
 
-  /** One that knows a route and a server. */
+  /** An environment with one route and its servers in force. */
   public static Environment with(Route route, ScriptedServer... servers) {
     Environment environment = withoutConfiguration();
     configure(environment, route, servers);
     return environment;
   }
 
-  /** One that has no configuration yet. */
+  /** An environment that has not received a configuration yet. */
   public static Environment withoutConfiguration() {
     Clocks clocks = Clocks.system();
     EventLog log = new EventLog(clocks);
@@ -89,7 +89,7 @@
     return settings(any, List.of(), repeats);
   }
 
-  /** Settings of an instance that listens to seeds. */
+  /** Settings of an instance with a peer address and seeds. */
   public static FrontSettings settings(
       InetSocketAddress peers, List<InetSocketAddress> seeds, SharedRetryBudget.Limits repeats) {
     InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
@@ -110,7 +110,7 @@
         Mechanisms.ALL);
   }
 
-  /** Puts a configuration with one route and a list with one server in force. */
+  /** Puts a configuration with one route and a list of servers in force. */
   public static void configure(Environment environment, Route route, ScriptedServer... servers) {
     environment.routes().set(new RouteTable(1, List.of(route), List.of(), CallerLimits.DEFAULT));
     environment.routesFreshness().confirmed(environment.clocks().nanos());
--- a/front/src/test/java/org/magnoliaswitch/front/testing/TestHeaders.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/TestHeaders.java
@@ -2,9 +2,9 @@
 
 import org.magnoliaswitch.front.version.HeaderNames;
 
-/** Headers that tests use between callers, instances and backend servers. */
+/** Header names that tests use between callers, instances and backend servers. */
 public final class TestHeaders {
-  /** Their names. */
+  /** The configured header names. */
   public static final HeaderNames NAMES =
       new HeaderNames(
           "Request-Id",
