--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerGroups.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerGroups.java
@@ -15,35 +15,40 @@
 import org.magnoliaswitch.front.load.ServerState;
 import org.magnoliaswitch.front.load.ServerSubset;
 
-/** Which servers of each service this instance sends to; used by one thread. */
+/** Selects the servers of each service that this instance sends to; used by one thread. */
 final class ServerGroups {
   private final FrontSettings settings;
   private final Clocks clocks;
   private final InstanceCount instances;
-  private final ColdSends coldSends;
+  private final ColdServerQuotas coldServers;
   private final Map<String, List<ServerPool>> byService = new HashMap<>();
-  private final Map<String, Double> parts = new HashMap<>();
+  private final Map<String, Double> subsetShares = new HashMap<>();
   private Set<ServerPool> unavailable = Set.of();
 
   ServerGroups(
-      FrontSettings settings, Clocks clocks, InstanceCount instances, ColdSends coldSends) {
+      FrontSettings settings,
+      Clocks clocks,
+      InstanceCount instances,
+      ColdServerQuotas coldServers) {
     this.settings = settings;
     this.clocks = clocks;
     this.instances = instances;
-    this.coldSends = coldSends;
+    this.coldServers = coldServers;
   }
 
-  /** The servers of a service, those that leave included; of a large service a part. */
+  /**
+   * Returns the servers of a service, including leaving ones; for a large service only a subset.
+   */
   List<ServerPool> of(String service) {
     return byService.getOrDefault(service, List.of());
   }
 
-  /** Share of a service's servers that this instance sends to. */
-  double part(String service) {
-    return parts.getOrDefault(service, 1.0);
+  /** Returns the share of a service's servers that this instance sends to. */
+  double subsetShare(String service) {
+    return subsetShares.getOrDefault(service, 1.0);
   }
 
-  /** Whether the servers whose place others take differ from when the groups were formed. */
+  /** Whether the set of unavailable servers has changed since the groups were built. */
   boolean outdated(Collection<ServerPool> all) {
     return !unavailable(all).equals(unavailable);
   }
@@ -54,17 +59,17 @@
         .collect(Collectors.toUnmodifiableSet());
   }
 
-  /** Whether it cannot be reached, or has asked this instance for a pause. */
+  /** Whether a server could not be reached recently or has asked this instance for a pause. */
   private boolean unavailable(ServerState server) {
     long now = clocks.nanos();
-    return server.unreachableLately(now) || server.backpressure().pauseLeftNanos(now) > 0;
+    return server.recentlyUnreachable(now) || server.backpressure().remainingPauseNanos(now) > 0;
   }
 
   /**
-   * Forms the groups anew. Those that leave are kept beside the part in use, since requests may
-   * still be at work there.
+   * Rebuilds the groups. Leaving servers are kept in addition to the selected ones, since they may
+   * still be executing requests.
    */
-  void form(Collection<ServerPool> all) {
+  void rebuild(Collection<ServerPool> all) {
     Map<String, List<ServerPool>> accepting = new HashMap<>();
     Map<String, List<ServerPool>> leaving = new HashMap<>();
     for (ServerPool pool : all) {
@@ -73,12 +78,12 @@
     }
     unavailable = unavailable(all);
     byService.clear();
-    parts.clear();
+    subsetShares.clear();
     accepting.forEach(
         (service, pools) -> {
-          List<ServerPool> used = used(pools);
-          parts.put(service, used.size() / (double) pools.size());
-          byService.put(service, withColdOnes(used, pools));
+          List<ServerPool> selected = selected(pools);
+          subsetShares.put(service, selected.size() / (double) pools.size());
+          byService.put(service, withColdServers(selected, pools));
         });
     leaving.forEach(
         (service, pools) ->
@@ -86,23 +91,24 @@
   }
 
   /**
-   * The part in use and the cold servers that this instance was drawn for. Few are, so a server
-   * that has just come would wait long for its first request if they had to use it anyway.
+   * Returns the selected servers and the cold servers that this instance is selected to send to.
+   * Only a few instances are, so a server that has just started would wait long for its first
+   * request if it also had to be in the subset of one of them.
    */
-  private List<ServerPool> withColdOnes(List<ServerPool> used, List<ServerPool> all) {
-    Set<ServerPool> chosen = new LinkedHashSet<>(used);
+  private List<ServerPool> withColdServers(List<ServerPool> selected, List<ServerPool> all) {
+    Set<ServerPool> result = new LinkedHashSet<>(selected);
     for (ServerPool pool : all) {
-      if (pool.state().cold(clocks.nanos()) && coldSends.drawn(pool.state())) {
-        chosen.add(pool);
+      if (pool.state().cold(clocks.nanos()) && coldServers.selected(pool.state())) {
+        result.add(pool);
       }
     }
-    return new ArrayList<>(chosen);
+    return new ArrayList<>(result);
   }
 
-  private List<ServerPool> used(List<ServerPool> pools) {
+  private List<ServerPool> selected(List<ServerPool> pools) {
     Mechanisms mechanisms = settings.mechanisms();
-    Set<ServerPool> avoided = mechanisms.on(Mechanism.REPLACEMENTS) ? unavailable : Set.of();
-    return mechanisms.on(Mechanism.SUBSET)
+    Set<ServerPool> avoided = mechanisms.enabled(Mechanism.REPLACEMENTS) ? unavailable : Set.of();
+    return mechanisms.enabled(Mechanism.SUBSET)
         ? ServerSubset.withReplacements(pools, avoided, this::subset)
         : pools;
   }
@@ -111,8 +117,8 @@
     int size =
         instances.settled()
             ? ServerSubset.size(pools.size(), instances.count())
-            : ServerSubset.sizeAtStart(pools.size());
-    return ServerSubset.of(
+            : ServerSubset.initialSize(pools.size());
+    return ServerSubset.select(
         pools, size, pool -> pool.state().entry(), settings.instance(), settings.dataCentre());
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/process/News.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StateSync.java
@@ -9,20 +9,20 @@
 import java.util.Optional;
 import org.magnoliaswitch.core.crash.CrashReport;
 import org.magnoliaswitch.core.process.CrashWatch;
-import org.magnoliaswitch.front.load.InstancePlace;
+import org.magnoliaswitch.front.load.InstanceIndex;
 import org.magnoliaswitch.front.loop.Loop;
-import org.magnoliaswitch.front.peer.ConfigurationNews;
+import org.magnoliaswitch.front.peer.ConfigurationUpdate;
 import org.magnoliaswitch.front.peer.HeldConfiguration;
 import org.magnoliaswitch.front.peer.PeerHub;
-import org.magnoliaswitch.front.peer.PeerNews;
 import org.magnoliaswitch.front.peer.PeerSubscription;
+import org.magnoliaswitch.front.peer.PeerUpdate;
 import org.magnoliaswitch.front.peer.ServerChanges;
 import org.magnoliaswitch.front.version.RouteTable;
 import org.magnoliaswitch.front.version.RouteUpdate;
 import org.magnoliaswitch.front.version.ServerList;
 
 /** Everything by which this instance learns and passes on configuration and discovery. */
-public final class News {
+public final class StateSync {
   /** Time between two looks for what may be forgotten; the shortest memory is a minute. */
   private static final long FORGET_MILLIS = 10_000;
 
@@ -43,28 +43,29 @@
   private final KnownState knownState;
   private final Loop loop;
   private final PeerHub hub;
-  private final NewsReader reader;
+  private final StatePoller reader;
   private final Map<InetSocketAddress, Integer> instancesByPeer = new HashMap<>();
-  private final Map<InetSocketAddress, InstancePlace> placesBySeed = new HashMap<>();
+  private final Map<InetSocketAddress, InstanceIndex> placesBySeed = new HashMap<>();
   private final CrashArchive archive;
   private final Map<InetSocketAddress, PeerSubscription> subscriptions = new LinkedHashMap<>();
   private final List<CrashReport> toReport = new ArrayList<>();
   private final List<CrashReport> toTell = new ArrayList<>();
 
-  public News(Environment environment, KnownState knownState, Loop control, NewsSource source) {
+  public StateSync(
+      Environment environment, KnownState knownState, Loop control, StateSource source) {
     this.environment = environment;
     this.knownState = knownState;
     this.loop = control;
     FrontSettings settings = environment.settings();
-    ReadingPlan plan =
-        ReadingPlan.of(
+    PollingSchedule plan =
+        PollingSchedule.of(
             settings.peers(),
             settings.seeds(),
             settings.firstStart(),
-            environment.random().nextInt(ReadingPlan.JITTER_SPAN_MILLIS));
-    this.archive = new CrashArchive(source.crashes(), environment, control, this::hearsPeers);
+            environment.random().nextInt(PollingSchedule.JITTER_SPAN_MILLIS));
+    this.archive = new CrashArchive(source.crashStore(), environment, control, this::hearsPeers);
     this.reader =
-        new NewsReader(
+        new StatePoller(
             source,
             knownState,
             plan,
@@ -78,7 +79,7 @@
             control,
             environment.clocks(),
             () ->
-                new PeerHub.Knowledge(
+                new PeerHub.Snapshot(
                     reader.ageMillis(),
                     reader.operatorStateAgeMillis(),
                     environment.routes().get(),
@@ -116,7 +117,7 @@
     environment.metrics().gauge("knowledge.age.milliseconds", reader::ageMillis);
     environment.metrics().gauge("configuration.age.milliseconds", reader::operatorStateAgeMillis);
     environment.metrics().gauge("servers.age.milliseconds", reader::serversAgeMillis);
-    environment.metrics().gauge("peer.bytes.told", hub::bytesTold);
+    environment.metrics().gauge("peer.bytes.told", hub::bytesSent);
     environment.metrics().gauge("peer.listeners.dropped", hub::listenersDropped);
     environment.metrics().gauge("peer.listeners.behind", hub::listenersBehind);
     environment.metrics().gauge("instances", () -> environment.instances().count());
@@ -133,7 +134,7 @@
    */
   private void share(CrashWatch.Lesson lesson) {
     if (lesson.source() == CrashWatch.Source.OWN) {
-      archive.own(lesson.news());
+      archive.recordOwn(lesson.news());
       toReport.addAll(lesson.news());
     }
     if (toTell.isEmpty()) {
@@ -148,7 +149,7 @@
     toReport.clear();
     toTell.clear();
     subscriptions.values().forEach(subscription -> subscription.report(reports));
-    hub.tell(news);
+    hub.publish(news);
   }
 
   /** Whether others hear of what happens here, or there are none. */
@@ -157,12 +158,12 @@
   }
 
   private boolean hearsPeers() {
-    return subscriptions.values().stream().anyMatch(PeerSubscription::hearing);
+    return subscriptions.values().stream().anyMatch(PeerSubscription::receiving);
   }
 
-  private void heard(InetSocketAddress seed, PeerNews news, ServerList servers) {
+  private void heard(InetSocketAddress seed, PeerUpdate news, ServerList servers) {
     instancesByPeer.put(seed, news.instances());
-    news.place().ifPresent(place -> placesBySeed.put(seed, place));
+    news.instanceIndex().ifPresent(place -> placesBySeed.put(seed, place));
     learnInstances();
     reader.heard(news, servers);
     confirm();
@@ -171,12 +172,12 @@
 
   private void tell() {
     learnInstances();
-    hub.tellAll();
+    hub.publish();
     confirm();
   }
 
   /** Tells others of what was learnt. */
-  private final class Learnt implements NewsReader.Listener {
+  private final class Learnt implements StatePoller.Listener {
     @Override
     public void changed() {
       tell();
@@ -186,7 +187,7 @@
     public void readItself() {
       if (!seed() && subscriptions.values().stream().anyMatch(PeerSubscription::peerStale)) {
         long wait = environment.random().nextLong(PASS_ON_SPAN_MILLIS);
-        loop.afterMillis(wait, News.this::passOn);
+        loop.afterMillis(wait, StateSync.this::passOn);
       }
     }
   }
@@ -198,7 +199,7 @@
   private void passOn() {
     subscriptions.values().stream()
         .filter(PeerSubscription::peerStale)
-        .forEach(seed -> seed.passOn(this::known));
+        .forEach(seed -> seed.forward(this::known));
   }
 
   /**
@@ -206,24 +207,24 @@
    *
    * @param version configuration that the receiver has
    */
-  private PeerNews known(long version) {
+  private PeerUpdate known(long version) {
     RouteTable routes = knownState.routes();
     Optional<RouteUpdate> update =
-        version < routes.version() ? Optional.of(new RouteUpdate.Whole(routes)) : Optional.empty();
-    return new PeerNews(
+        version < routes.version() ? Optional.of(new RouteUpdate.Full(routes)) : Optional.empty();
+    return new PeerUpdate(
         reader.ageMillis(),
         environment.instances().count(),
         Optional.empty(),
         ServerChanges.between(ServerList.EMPTY, knownState.servers()),
         knownState.evacuations(),
         List.of(),
-        Optional.of(hub.ownPlace()),
+        Optional.of(hub.ownIndex()),
         Optional.of(
-            new ConfigurationNews(routes.version(), reader.operatorStateAgeMillis(), update)));
+            new ConfigurationUpdate(routes.version(), reader.operatorStateAgeMillis(), update)));
   }
 
   /** What a listener has read itself; told to all at once, so that none of them reads too. */
-  private void heardOfListener(PeerNews news) {
+  private void heardOfListener(PeerUpdate news) {
     if (news.ageMillis() < reader.ageMillis()) {
       reader.heard(news, news.servers().applyTo(ServerList.EMPTY));
       tell();
@@ -236,7 +237,7 @@
   }
 
   private void confirm() {
-    subscriptions.values().forEach(PeerSubscription::confirm);
+    subscriptions.values().forEach(PeerSubscription::acknowledge);
   }
 
   private HeldConfiguration held(InetSocketAddress seed) {
@@ -247,13 +248,13 @@
    * Seeds share the work: a large configuration from each of them to each instance would keep
    * narrow links busy for seconds. Seeds themselves take it from whoever has it first.
    */
-  private HeldConfiguration.Supply supply(InetSocketAddress seed) {
+  private HeldConfiguration.Delivery supply(InetSocketAddress seed) {
     if (seed()) {
-      return HeldConfiguration.Supply.FIRST;
+      return HeldConfiguration.Delivery.FIRST;
     }
     return seed.equals(supplier())
-        ? HeldConfiguration.Supply.AT_ONCE
-        : HeldConfiguration.Supply.IN_RESERVE;
+        ? HeldConfiguration.Delivery.IMMEDIATE
+        : HeldConfiguration.Delivery.DEFERRED;
   }
 
   /** The first seed that is heard, in an order that differs between instances. */
@@ -263,22 +264,22 @@
     for (int i = 0; i < seeds.size(); i++) {
       InetSocketAddress seed = seeds.get((start + i) % seeds.size());
       PeerSubscription subscription = subscriptions.get(seed);
-      if (subscription != null && subscription.hearing()) {
+      if (subscription != null && subscription.receiving()) {
         return seed;
       }
     }
     return seeds.get(start);
   }
 
-  private void placed(InstancePlace place) {
-    Optional<Integer> before = environment.instances().place().map(InstancePlace::index);
+  private void placed(InstanceIndex place) {
+    Optional<Integer> before = environment.instances().place().map(InstanceIndex::index);
     environment.instances().placed(place);
     if (!before.equals(Optional.of(place.index()))) {
       environment
           .log()
-          .belief("placed")
+          .stateChange("placed")
           .add("index", place.index())
-          .add("places", place.places())
+          .add("places", place.count())
           .write();
     }
   }
@@ -287,13 +288,13 @@
    * The place that the first seed gives which is heard, so that all instances have theirs from the
    * same one. A seed has its own among its listeners.
    */
-  private Optional<InstancePlace> firstPlace() {
+  private Optional<InstanceIndex> firstPlace() {
     for (InetSocketAddress seed : environment.settings().seeds()) {
       if (seed.equals(environment.settings().peers())) {
-        return Optional.of(hub.ownPlace());
+        return Optional.of(hub.ownIndex());
       }
       PeerSubscription subscription = subscriptions.get(seed);
-      if (subscription != null && subscription.hearing() && placesBySeed.containsKey(seed)) {
+      if (subscription != null && subscription.receiving() && placesBySeed.containsKey(seed)) {
         return Optional.of(placesBySeed.get(seed));
       }
     }
@@ -307,7 +308,7 @@
       most = Math.max(most, count);
     }
     if (most > 1) {
-      environment.instances().learnt(most);
+      environment.instances().update(most);
     }
     firstPlace().ifPresent(this::placed);
   }
--- a/front/src/test/java/org/magnoliaswitch/front/load/AdmissionLimitTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/AdmissionLimitTest.java
@@ -14,14 +14,14 @@
   private static ServiceLoad service(int meanHeld) {
     ServiceLoad load = new ServiceLoad();
     for (int i = 0; i < 200; i++) {
-      load.sampled(new LoadSample(meanHeld, 0, Servers.SLOTS, 1));
+      load.recordSample(new LoadSample(meanHeld, 0, Servers.SLOTS, 1));
     }
     return load;
   }
 
   private static boolean hasRoom(
       ServerState server, ServiceLoad service, Timeliness timeliness, long nowNanos) {
-    return AdmissionLimit.hasRoom(server, Servers.context(timeliness, service, nowNanos));
+    return AdmissionLimit.hasCapacity(server, Servers.context(timeliness, service, nowNanos));
   }
 
   @DataProvider
@@ -40,7 +40,7 @@
   @Test(dataProvider = "loads")
   public void slotsAreFilledToTheKneeAndLateRequestsLeaveOneMore(
       int running, Timeliness timeliness, boolean room) {
-    ServerState server = Servers.told("a", running, 1, NOW);
+    ServerState server = Servers.reporting("a", running, 1, NOW);
     assertEquals(hasRoom(server, service(running), timeliness, NOW), room);
   }
 
@@ -50,7 +50,7 @@
    */
   @Test
   public void oldNewsOfAnIdleServerDoNotCountOnABusyDay() {
-    ServerState server = Servers.told("a", 0, 1, NOW);
+    ServerState server = Servers.reporting("a", 0, 1, NOW);
     long later = NOW + TimeUnit.SECONDS.toNanos(1);
     assertEquals(hasRoom(server, service(5), Timeliness.IN_TIME, later), false);
     assertEquals(hasRoom(server, service(1), Timeliness.IN_TIME, later), true);
@@ -65,16 +65,16 @@
   public void aServerNotHeardOfYetGetsOneRequestAtATime() {
     ServerState server = new ServerState(Servers.entry("a", false), NOW);
     assertEquals(hasRoom(server, service(0), Timeliness.IN_TIME, NOW), true);
-    server.sent();
+    server.requestStarted();
     assertEquals(hasRoom(server, service(0), Timeliness.IN_TIME, NOW), false);
   }
 
   @Test
   public void aServiceThatTellsNoLoadAlwaysHasRoom() {
     ServerState server = new ServerState(Servers.entry("a", false), NOW);
-    server.sent();
+    server.requestStarted();
     ServiceLoad silent = new ServiceLoad();
-    silent.toldNothing();
+    silent.markNotReporting();
     assertEquals(hasRoom(server, silent, Timeliness.LATE, NOW), true);
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/load/ColdShareTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/ColdShareTest.java
@@ -24,14 +24,14 @@
 
   private static final int SERVERS = 200;
 
-  private static final Optional<InstancePlace> NOWHERE = Optional.empty();
+  private static final Optional<InstanceIndex> NOWHERE = Optional.empty();
 
   private static int sharesOf(String server, int instances, int believed) {
     int sum = 0;
     for (int i = 0; i < instances; i++) {
       sum +=
-          ColdShare.of(WARMUP, BOUNDS, new SenderDraw("front-" + i, server, believed, NOWHERE))
-              .mostPerSecond();
+          ColdShare.of(WARMUP, BOUNDS, new SenderSelection("front-" + i, server, believed, NOWHERE))
+              .maxPerSecond();
     }
     return sum;
   }
@@ -80,8 +80,8 @@
   @Test
   public void aServiceThatDeclaresNothingIsNotLimited() {
     ColdShare share =
-        ColdShare.of(Warmup.UNLIMITED, BOUNDS, new SenderDraw("a", "i@0", 100, NOWHERE));
-    assertEquals(share.mostPerSecond(), Integer.MAX_VALUE);
+        ColdShare.of(Warmup.UNLIMITED, BOUNDS, new SenderSelection("a", "i@0", 100, NOWHERE));
+    assertEquals(share.maxPerSecond(), Integer.MAX_VALUE);
   }
 
   /** Instances that have a place from a seed. */
@@ -89,9 +89,9 @@
     private static final int INSTANCES = 97;
 
     private static int share(String server, int place, int places) {
-      Optional<InstancePlace> known = Optional.of(new InstancePlace(place, places));
-      return ColdShare.of(WARMUP, BOUNDS, new SenderDraw("front", server, places, known))
-          .mostPerSecond();
+      Optional<InstanceIndex> known = Optional.of(new InstanceIndex(place, places));
+      return ColdShare.of(WARMUP, BOUNDS, new SenderSelection("front", server, places, known))
+          .maxPerSecond();
     }
 
     /** What the instances send whose places a list names, in a second. */
@@ -148,8 +148,9 @@
         int named = 0;
         for (int k = 0; k < 2 * INSTANCES / 3; k++) {
           named +=
-              ColdShare.of(WARMUP, BOUNDS, new SenderDraw("front-" + k, server, INSTANCES, NOWHERE))
-                  .mostPerSecond();
+              ColdShare.of(
+                      WARMUP, BOUNDS, new SenderSelection("front-" + k, server, INSTANCES, NOWHERE))
+                  .maxPerSecond();
         }
         int all = named + sum(server, shuffled(3).subList(0, INSTANCES / 3));
         assertTrue(all <= MOST_PER_SECOND, server + " got " + all);
@@ -162,10 +163,11 @@
       Warmup one = new Warmup(TimeUnit.SECONDS.toNanos(3), 1);
       int senders = 0;
       for (int place = 0; place < INSTANCES; place++) {
-        Optional<InstancePlace> known = Optional.of(new InstancePlace(place, INSTANCES));
+        Optional<InstanceIndex> known = Optional.of(new InstanceIndex(place, INSTANCES));
         senders +=
-            ColdShare.of(one, ColdShare.Bounds.NONE, new SenderDraw("a", "i@0", INSTANCES, known))
-                .mostPerSecond();
+            ColdShare.of(
+                    one, ColdShare.Bounds.NONE, new SenderSelection("a", "i@0", INSTANCES, known))
+                .maxPerSecond();
       }
       assertEquals(senders, 1);
     }
@@ -179,29 +181,29 @@
     private static final long SPAN_NANOS = TimeUnit.SECONDS.toNanos(3);
 
     /** Each instance holds a bucket that fills at an even part of the limit. */
-    private static final class Buckets implements Bursts.Way {
-      private final List<RateLimit> buckets = new ArrayList<>();
+    private static final class Buckets implements Bursts.SendPolicy {
+      private final List<TokenBucket> buckets = new ArrayList<>();
       private final double perSecond;
 
       Buckets(Random random) {
         perSecond = MOST_PER_SECOND / INSTANCES;
         for (int i = 0; i < INSTANCES; i++) {
-          RateLimit bucket = new RateLimit(1, 0);
-          bucket.take(0, 0);
+          TokenBucket bucket = new TokenBucket(1, 0);
+          bucket.tryTake(0, 0);
           // As much as if it had begun to fill at any moment before.
-          bucket.take(random.nextDouble(), TimeUnit.SECONDS.toNanos(1));
+          bucket.tryTake(random.nextDouble(), TimeUnit.SECONDS.toNanos(1));
           buckets.add(bucket);
         }
       }
 
       @Override
       public boolean send(int instance, long nowNanos) {
-        return buckets.get(instance).take(perSecond, nowNanos + TimeUnit.SECONDS.toNanos(1));
+        return buckets.get(instance).tryTake(perSecond, nowNanos + TimeUnit.SECONDS.toNanos(1));
       }
     }
 
     /** Few instances are drawn. */
-    private static final class Drawn implements Bursts.Way {
+    private static final class Drawn implements Bursts.SendPolicy {
       private final List<SendWindow> windows = new ArrayList<>();
       private final String server;
 
@@ -216,9 +218,11 @@
       public boolean send(int instance, long nowNanos) {
         ColdShare share =
             ColdShare.of(
-                WARMUP, BOUNDS, new SenderDraw("front-" + instance, server, INSTANCES, NOWHERE));
+                WARMUP,
+                BOUNDS,
+                new SenderSelection("front-" + instance, server, INSTANCES, NOWHERE));
         SendWindow window = windows.get(instance);
-        if (window.size(TimeUnit.SECONDS.toNanos(1), nowNanos) >= share.mostPerSecond()) {
+        if (window.size(TimeUnit.SECONDS.toNanos(1), nowNanos) >= share.maxPerSecond()) {
           return false;
         }
         window.add(nowNanos);
@@ -226,9 +230,9 @@
       }
     }
 
-    private static long worst(Bursts.Way way) {
-      List<Long> sends = Bursts.play(way, INSTANCES, 0, SPAN_NANOS, STEP_NANOS);
-      return Bursts.mostInSpan(sends, TimeUnit.SECONDS.toNanos(1));
+    private static long worst(Bursts.SendPolicy way) {
+      List<Long> sends = Bursts.simulate(way, INSTANCES, 0, SPAN_NANOS, STEP_NANOS);
+      return Bursts.maxInWindow(sends, TimeUnit.SECONDS.toNanos(1));
     }
 
     /**
--- a/front/src/test/java/org/magnoliaswitch/front/process/NewsTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/StateSyncTest.java
@@ -23,7 +23,7 @@
 import org.magnoliaswitch.core.crash.SuspicionLevel;
 import org.magnoliaswitch.core.process.CrashWatch;
 import org.magnoliaswitch.front.connection.ServerConnector;
-import org.magnoliaswitch.front.load.InstancePlace;
+import org.magnoliaswitch.front.load.InstanceIndex;
 import org.magnoliaswitch.front.load.SharedRetryBudget;
 import org.magnoliaswitch.front.loop.Loop;
 import org.magnoliaswitch.front.testing.Servers;
@@ -39,11 +39,11 @@
 import org.testng.annotations.Test;
 
 /** How instances learn from the platform and from each other. */
-public final class NewsTest {
+public final class StateSyncTest {
   private static final HeaderNames NAMES = TestHeaders.NAMES;
 
   /** A platform whose answers a test sets. */
-  private static final class Source implements NewsSource {
+  private static final class Source implements StateSource {
     private final AtomicReference<Read<OperatorState>> configuration =
         new AtomicReference<>(new Read.Failed<>("away"));
     private final AtomicReference<Read<ServerList>> servers =
@@ -94,7 +94,7 @@
       FrontSettings settings = TestEnvironment.settings(at(peersPort), seeds, repeats);
       AtomicReference<RouteTable> routes = new AtomicReference<>(RouteTable.EMPTY);
       InstanceCount instances = new InstanceCount(1, clocks);
-      ColdSends coldSends = new ColdSends(settings, clocks, routes, instances);
+      ColdServerQuotas coldServers = new ColdServerQuotas(settings, clocks, routes, instances);
       ServerDirectory servers =
           new ServerDirectory(
               new ServerConnector(requests, clocks, NAMES),
@@ -102,7 +102,7 @@
               log,
               settings,
               instances,
-              coldSends);
+              coldServers);
       FrontMetrics metrics = new FrontMetrics();
       environment =
           new Environment(
@@ -116,13 +116,13 @@
               servers,
               new RouteState(random, repeats),
               instances,
-              new SendQuotas(settings, clocks, instances, coldSends, servers::part),
+              new ServerQuotas(settings, clocks, instances, coldServers, servers::subsetShare),
               new ServerNotices(servers, clocks, log, metrics),
               log,
               metrics,
               new CrashWatch(clocks));
       knownState = new KnownState(environment.routes(), servers, requests, log);
-      new News(environment, knownState, control, source).start();
+      new StateSync(environment, knownState, control, source).start();
     }
 
     void awaitVersion(long version) {
@@ -167,7 +167,7 @@
       good.answer(4, "a", "b");
       good.waiting.await();
       seed.control.execute(
-          () -> good.waits.removeFirst().accept(new NewsSource.Read.Known<>(declared(4))));
+          () -> good.waits.removeFirst().accept(new StateSource.Read.Known<>(declared(4))));
       alone.awaitVersion(4);
       assertEquals(alone.knownState.servers().servers().keySet(), Set.of("a", "b"));
       assertEquals(alone.environment.instances().count(), 2);
@@ -236,7 +236,7 @@
       Set<Integer> indices = new HashSet<>();
       for (Learner learner : all) {
         InstanceCount instances = learner.environment.instances();
-        while (instances.place().map(InstancePlace::places).orElse(0) < all.size()) {
+        while (instances.place().map(InstanceIndex::count).orElse(0) < all.size()) {
           Thread.onSpinWait();
         }
         indices.add(instances.place().orElseThrow().index());
@@ -285,7 +285,7 @@
 
     private static void change(Learner seed, Source source, OperatorState state) {
       seed.control.execute(
-          () -> source.waits.removeFirst().accept(new NewsSource.Read.Known<>(state)));
+          () -> source.waits.removeFirst().accept(new StateSource.Read.Known<>(state)));
     }
 
     private static Evacuations evacuations(long version, String... dataCentres) {
@@ -326,7 +326,7 @@
       source.waiting.await();
       source.answer(7, "a");
       seed.control.execute(
-          () -> source.waits.removeFirst().accept(new NewsSource.Read.Failed<>("history_gone")));
+          () -> source.waits.removeFirst().accept(new StateSource.Read.Failed<>("history_gone")));
       seed.awaitVersion(7);
     }
 
@@ -354,7 +354,7 @@
       source.answer(9, "a");
       Learner learner = new Learner(freePort(), List.of(), source);
       learner.awaitVersion(9);
-      source.configuration.set(new NewsSource.Read.Known<>(declared(8)));
+      source.configuration.set(new StateSource.Read.Known<>(declared(8)));
       int before = source.reads.get();
       while (source.reads.get() < before + 2) {
         Thread.onSpinWait();
