--- a/front/src/main/java/org/magnoliaswitch/front/connection/ServerConnection.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/ServerConnection.java
@@ -45,7 +45,7 @@
   private static final String KEEP_ALIVE = "keep-alive";
   private static final String KEEP_ALIVE_TIMEOUT = "timeout=";
 
-  /** The pool that a connection matchesRequest to. */
+  /** The pool that a connection belongs to. */
   interface Owner {
     /** Called when the connection can carry another exchange. */
     void released(ServerConnection connection);
--- a/front/src/main/java/org/magnoliaswitch/front/connection/ServerPool.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/ServerPool.java
@@ -84,8 +84,8 @@
 
   /**
    * Checks whether the server's process has crashed, after a connection to it was closed: a live
-   * process accepts another connection and keptOpen it open. A machine that does not answer at all
-   * cannot be callback apart from a network failure and counts as live, and so does a server in an
+   * process accepts another connection and keeps it open. A machine that does not answer at all
+   * cannot be distinguished from a network failure and counts as live, and so does a server in an
    * evacuated data centre, which must not be contacted. Concurrent checks share one result.
    *
    * @param callback receives true if the process has crashed
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerSubscription.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerSubscription.java
@@ -134,7 +134,10 @@
     }
   }
 
-  /** Whether the peer's state has been stale for at least {@link #STALE_NANOS}. */
+  /**
+   * Whether the peer's state is stale although this instance has received its updates for longer
+   * than {@link #STALE_NANOS}.
+   */
   public boolean peerStale() {
     long now = clocks.nanos();
     return receiving
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerUpdateCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerUpdateCodec.java
@@ -20,8 +20,8 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Encodes and decodes {@link PeerUpdate} as MessagePack. Fields that a later release added come
- * last, where an earlier release ignores them.
+ * Encodes and decodes {@link PeerUpdate} as MessagePack. Fields are written by position; those that
+ * a later release added come last, where an earlier release ignores them.
  */
 public final class PeerUpdateCodec {
   /** Protocol version, the first field of each message; other versions are rejected. */
