--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerUpdateCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerUpdateCodec.java
@@ -19,34 +19,37 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Writes and reads {@link PeerUpdate} as MessagePack; fields stand in the order of the records. */
+/**
+ * Encodes and decodes {@link PeerUpdate} as MessagePack. Fields that a later release added come
+ * last, where an earlier release ignores them.
+ */
 public final class PeerUpdateCodec {
-  /** First field of each message; another number is another protocol and refused. */
+  /** Protocol version, the first field of each message; other versions are rejected. */
   private static final int PROTOCOL = 2;
 
   private PeerUpdateCodec() {}
 
   /** Encodes a message. */
-  public static byte[] encode(PeerUpdate news) {
+  public static byte[] encode(PeerUpdate update) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(PROTOCOL);
-      out.packLong(news.ageMillis());
-      out.packInt(news.instances());
-      out.packBoolean(news.routes().isPresent());
-      if (news.routes().isPresent()) {
-        RouteTableCodec.write(out, news.routes().get());
+      out.packLong(update.ageMillis());
+      out.packInt(update.instances());
+      out.packBoolean(update.routes().isPresent());
+      if (update.routes().isPresent()) {
+        RouteTableCodec.write(out, update.routes().get());
       }
-      writeServers(out, news.servers());
-      CrashReportCodec.write(out, news.crashes());
-      writeEvacuations(out, news.evacuations());
-      if (news.routes().isPresent()) {
-        RouteExtensionsCodec.write(out, news.routes().get());
+      writeServers(out, update.servers());
+      CrashReportCodec.write(out, update.crashes());
+      writeEvacuations(out, update.evacuations());
+      if (update.routes().isPresent()) {
+        RouteExtensionsCodec.write(out, update.routes().get());
       }
-      if (news.instanceIndex().isPresent()) {
-        writePlace(out, news.instanceIndex().get());
+      if (update.instanceIndex().isPresent()) {
+        writeIndex(out, update.instanceIndex().get());
       }
-      if (news.configuration().isPresent()) {
-        ConfigurationUpdate configuration = news.configuration().get();
+      if (update.configuration().isPresent()) {
+        ConfigurationUpdate configuration = update.configuration().get();
         out.packLong(configuration.version());
         out.packLong(configuration.ageMillis());
         out.addPayload(RouteUpdateCodec.encode(configuration.update()));
@@ -58,15 +61,15 @@
   }
 
   /**
-   * Encodes the end of a message without a place, up to its {@link RouteUpdate}: all listeners get
-   * the same message, but each has a place of its own and lacks something else.
+   * Encodes the tail of a message that was encoded without an index, up to its {@link RouteUpdate}.
+   * Listeners share the encoded message, but each has its own index and needs its own update.
    *
-   * @param version version of the configuration in force here
-   * @param ageMillis how long ago that was known to be the newest
+   * @param version version of the configuration in force at this instance
+   * @param ageMillis time since this version was confirmed to be the newest
    */
-  static byte[] encodeEnd(InstanceIndex place, long version, long ageMillis) {
+  static byte[] encodeTail(InstanceIndex index, long version, long ageMillis) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-      writePlace(out, place);
+      writeIndex(out, index);
       out.packLong(version);
       out.packLong(ageMillis);
       return out.toByteArray();
@@ -81,41 +84,45 @@
     return new ConfigurationUpdate(version, age, RouteUpdateCodec.read(in));
   }
 
-  private static void writePlace(MessagePacker out, InstanceIndex place) throws IOException {
-    out.packInt(place.index());
-    out.packInt(place.count());
+  private static void writeIndex(MessagePacker out, InstanceIndex index) throws IOException {
+    out.packInt(index.index());
+    out.packInt(index.count());
   }
 
-  private static InstanceIndex readPlace(MessageUnpacker in) throws IOException {
+  private static InstanceIndex readIndex(MessageUnpacker in) throws IOException {
     int index = in.unpackInt();
     return new InstanceIndex(index, in.unpackInt());
   }
 
-  /** Decodes a message; anything malformed is an {@link IOException}. */
+  /**
+   * Decodes a message.
+   *
+   * @throws IOException if the message is malformed
+   */
   public static PeerUpdate decode(byte[] bytes) throws IOException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       int protocol = in.unpackInt();
       if (protocol != PROTOCOL) {
-        throw new IOException("protocol " + protocol + " is not known");
+        throw new IOException("protocol version " + protocol + " is not supported");
       }
       long age = in.unpackLong();
       int instances = in.unpackInt();
       Optional<RouteTable> routes =
           in.unpackBoolean() ? Optional.of(RouteTableCodec.read(in)) : Optional.empty();
       ServerChanges servers = readServers(in);
-      // Instances of an earlier release write nothing more, and pass over what they do not know.
+      // Instances of an earlier release write nothing more, and ignore fields that they don't know.
       List<CrashReport> crashes = in.hasNext() ? CrashReportCodec.read(in) : List.of();
       Evacuations evacuations = in.hasNext() ? readEvacuations(in) : Evacuations.UNKNOWN;
       if (routes.isPresent() && in.hasNext()) {
         routes = Optional.of(RouteExtensionsCodec.read(in, routes.get()));
       }
-      Optional<InstanceIndex> place = in.hasNext() ? Optional.of(readPlace(in)) : Optional.empty();
+      Optional<InstanceIndex> index = in.hasNext() ? Optional.of(readIndex(in)) : Optional.empty();
       Optional<ConfigurationUpdate> configuration =
           in.hasNext() ? Optional.of(readConfiguration(in)) : Optional.empty();
       return new PeerUpdate(
-          age, instances, routes, servers, evacuations, crashes, place, configuration);
+          age, instances, routes, servers, evacuations, crashes, index, configuration);
     } catch (MessagePackException | IllegalArgumentException e) {
-      throw new IOException("malformed news", e);
+      throw new IOException("malformed update", e);
     }
   }
 
@@ -131,7 +138,7 @@
   private static Evacuations readEvacuations(MessageUnpacker in) throws IOException {
     long version = in.unpackLong();
     Set<String> dataCentres = new HashSet<>();
-    for (int left = in.unpackArrayHeader(); left > 0; left--) {
+    for (int remaining = in.unpackArrayHeader(); remaining > 0; remaining--) {
       dataCentres.add(in.unpackString());
     }
     return new Evacuations(version, dataCentres);
@@ -160,7 +167,7 @@
   private static ServerChanges readServers(MessageUnpacker in) throws IOException {
     long version = in.unpackLong();
     List<ServerEntry> changed = new ArrayList<>();
-    for (int left = in.unpackArrayHeader(); left > 0; left--) {
+    for (int remaining = in.unpackArrayHeader(); remaining > 0; remaining--) {
       changed.add(
           new ServerEntry(
               in.unpackString(),
@@ -174,7 +181,7 @@
               in.unpackLong()));
     }
     List<String> removed = new ArrayList<>();
-    for (int left = in.unpackArrayHeader(); left > 0; left--) {
+    for (int remaining = in.unpackArrayHeader(); remaining > 0; remaining--) {
       removed.add(in.unpackString());
     }
     return new ServerChanges(version, changed, removed);
--- a/front/src/main/java/org/magnoliaswitch/front/request/FurtherAttempts.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/FurtherAttempts.java
@@ -49,12 +49,12 @@
    */
   boolean mayRetryAfterRejection() {
     boolean prioritized = environment.settings().mechanisms().enabled(Mechanism.LAST_TRIES_FIRST);
-    return mayRetry(prioritized ? times.fallback() : CallerRetry.NONE);
+    return mayRetry(prioritized ? times.callerRetry() : CallerRetry.NONE);
   }
 
   /**
-   * Whether a further attempt is allowed after one that brought no answer or a failure; an allowed
-   * attempt is charged to the retry budget.
+   * Whether a further attempt is allowed after one that brought no response or a failure; an
+   * allowed attempt is charged to the retry budget.
    */
   boolean mayRetry() {
     return mayRetry(CallerRetry.NONE);
@@ -72,14 +72,14 @@
     return mayRetry();
   }
 
-  private boolean mayRetry(CallerRetry fallback) {
-    Optional<String> denialReason = denialReason(fallback);
+  private boolean mayRetry(CallerRetry callerRetry) {
+    Optional<String> denialReason = denialReason(callerRetry);
     denialReason.ifPresent(
         reason -> report.furtherAttemptDenied(service, reason, times.remainingNanos()));
     return denialReason.isEmpty();
   }
 
-  private Optional<String> denialReason(CallerRetry fallback) {
+  private Optional<String> denialReason(CallerRetry callerRetry) {
     if (attempts >= route.maxServers()) {
       return Optional.of("most_servers");
     }
@@ -91,9 +91,9 @@
     }
     SharedRetryBudget budget = environment.routeState().budget(service);
     long now = environment.clocks().nanos();
-    if (budget.trySpend(fallback, environment.instances().count(), now)) {
+    if (budget.trySpend(callerRetry, environment.instances().count(), now)) {
       return Optional.empty();
     }
-    return Optional.of(fallback == CallerRetry.NONE ? "no_budget" : "caller_returns");
+    return Optional.of(callerRetry == CallerRetry.NONE ? "no_budget" : "caller_returns");
   }
 }
