--- a/front/src/test/java/org/magnoliaswitch/front/load/ServiceLoadTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/ServiceLoadTest.java
@@ -18,7 +18,7 @@
    * next waiting request is not sent there.
    */
   @Test
-  public void theAnsweredRequestIsSubtractedFromTheReport() {
+  public void anAnsweredRequestIsSubtractedFromTheReport() {
     assertEquals(afterAnswer(new LoadSample(2, 0, 3, 1)).outstanding(), 1);
     assertEquals(afterAnswer(new LoadSample(3, 2, 3, 1)), new LoadSample(3, 1, 3, 1));
   }
