--- a/core/src/main/java/org/magnoliaswitch/core/process/ControlPlane.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ControlPlane.java
@@ -229,7 +229,7 @@
 
   private void maintain() {
     state.membership().expire();
-    state.crashes().forgetOutdated();
+    state.crashes().removeExpired();
     ledger.expire();
     int instances = state.membership().size();
     if (instances != sharedAmong) {
--- a/core/src/main/java/org/magnoliaswitch/core/process/CrashGossip.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/CrashGossip.java
@@ -36,23 +36,23 @@
     this.client = client;
     this.timeline = timeline;
     this.executor = executor;
-    crashes.listen(this::learnt);
+    crashes.addListener(this::publish);
   }
 
   /** Takes what a peer tells, and tells it what is known here. */
   PeerMessage answer(PeerMessage.Crashes told) {
     try {
-      crashes.heard(CrashReportCodec.decode(told.reports()), CrashWatch.Source.PEER);
+      crashes.receive(CrashReportCodec.decode(told.reports()), CrashWatch.Source.PEER);
     } catch (IOException e) {
       logger.atWarning().withCause(e).log("event=crash_reports_malformed");
       return new PeerMessage.Unsupported("malformed reports");
     }
-    return crashes.quiet() ? NOTHING : all();
+    return crashes.isEmpty() ? NOTHING : all();
   }
 
   /** Compares with a few peers, which repairs what a push has missed; called now and then. */
   void repair() {
-    if (!crashes.quiet()) {
+    if (!crashes.isEmpty()) {
       gossip.fewPeers().forEach(peer -> send(peer, all()));
     }
   }
@@ -61,19 +61,19 @@
     return new PeerMessage.Crashes(CrashReportCodec.encode(crashes.table().reports()));
   }
 
-  private void learnt(CrashWatch.Lesson lesson) {
-    lesson.changes().forEach(change -> tell(change, lesson.source()));
-    push(lesson.news());
+  private void publish(CrashWatch.Update update) {
+    update.changes().forEach(change -> recordChange(change, update.source()));
+    push(update.newReports());
   }
 
-  private void tell(CrashWatch.Change change, CrashWatch.Source source) {
+  private void recordChange(CrashWatch.Change change, CrashWatch.Source source) {
     timeline.record(
         EventKind.CRASH_STANDING,
         "identity=%s standing=%s ends=%d source=%s"
             .formatted(
                 change.request(),
-                change.standing().name().toLowerCase(Locale.ROOT),
-                change.ends().size(),
+                change.level().name().toLowerCase(Locale.ROOT),
+                change.crashedServers().size(),
                 source.name().toLowerCase(Locale.ROOT)));
   }
 
@@ -90,7 +90,7 @@
     try {
       PeerMessage reply = client.call(peer, message, CALL_TIMEOUT_MILLIS);
       if (reply instanceof PeerMessage.Crashes known) {
-        crashes.heard(CrashReportCodec.decode(known.reports()), CrashWatch.Source.PEER);
+        crashes.receive(CrashReportCodec.decode(known.reports()), CrashWatch.Source.PEER);
       }
     } catch (IOException e) {
       logger.atFine().log("event=crash_gossip_failed peer=%s cause=%s", peer, e);
--- a/core/src/main/java/org/magnoliaswitch/core/process/CrashWatch.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/CrashWatch.java
@@ -37,39 +37,39 @@
    * @param news reports that were new here
    * @param changes requests whose standing they changed
    */
-  public record Lesson(List<CrashReport> news, List<Change> changes, Source source) {}
+  public record Update(List<CrashReport> newReports, List<Change> changes, Source source) {}
 
   /**
    * A request whose standing changed.
    *
    * @param ends incarnations whose ends count
    */
-  public record Change(RequestIdentity request, SuspicionLevel standing, Set<String> ends) {}
+  public record Change(RequestIdentity request, SuspicionLevel level, Set<String> crashedServers) {}
 
   /** Is told of what was learnt. */
   @FunctionalInterface
   public interface Listener {
     /** Called on the thread that brought the reports. */
-    void learnt(Lesson lesson);
+    void updated(Update update);
   }
 
   private final Clocks clocks;
   private final AtomicReference<CrashTable> table = new AtomicReference<>(CrashTable.EMPTY);
   private final List<Listener> listeners = new CopyOnWriteArrayList<>();
-  private volatile BooleanSupplier trialsCoordinated = () -> true;
+  private volatile BooleanSupplier trialsAllowed = () -> true;
 
   public CrashWatch(Clocks clocks) {
     this.clocks = clocks;
   }
 
   /** Adds somebody who is told of news. */
-  public void listen(Listener listener) {
+  public void addListener(Listener listener) {
     listeners.add(listener);
   }
 
   /** Sets how to know whether others would hear of a trial that begins here. */
-  public void coordinateTrials(BooleanSupplier heardByOthers) {
-    trialsCoordinated = heardByOthers;
+  public void allowTrialsWhen(BooleanSupplier condition) {
+    trialsAllowed = condition;
   }
 
   /** What is known now. */
@@ -78,7 +78,7 @@
   }
 
   /** Whether nothing is known of any request, so that none needs to be looked up. */
-  public boolean quiet() {
+  public boolean isEmpty() {
     return table.get().isEmpty();
   }
 
@@ -88,12 +88,12 @@
    */
   public Verdict verdict(RequestIdentity request) {
     Verdict verdict = table.get().verdict(request, clocks.nanos());
-    boolean alone = verdict == Verdict.TRIAL && !trialsCoordinated.getAsBoolean();
+    boolean alone = verdict == Verdict.TRIAL && !trialsAllowed.getAsBoolean();
     return alone ? Verdict.REFUSED : verdict;
   }
 
   /** Notes that a suspect request is about to be let through, so that nobody else does it too. */
-  public void tried(RequestIdentity request) {
+  public void recordTrial(RequestIdentity request) {
     int trial = table.get().trials(request) + 1;
     take(List.of(new CrashReport.TrialStarted(request, trial)), Source.OWN);
   }
@@ -103,7 +103,7 @@
    *
    * @param identities what the request is, in every way in which it is judged
    */
-  public void ended(List<RequestIdentity> identities, String server, boolean warned) {
+  public void recordCrash(List<RequestIdentity> identities, String server, boolean warned) {
     List<CrashReport> reports = new ArrayList<>();
     identities.forEach(identity -> reports.add(new CrashReport.Crashed(identity, server, warned)));
     take(reports, Source.OWN);
@@ -116,7 +116,7 @@
    * @param sentNanos when the request was sent; what became known later may be newer than the
    *     answer
    */
-  public void answered(List<RequestIdentity> identities, String server, long sentNanos) {
+  public void recordAnswer(List<RequestIdentity> identities, String server, long sentNanos) {
     CrashTable now = table.get();
     List<CrashReport> reports = new ArrayList<>();
     for (RequestIdentity identity : identities) {
@@ -133,27 +133,27 @@
   }
 
   /** Takes reports of others. */
-  public void heard(List<CrashReport> reports, Source source) {
+  public void receive(List<CrashReport> reports, Source source) {
     if (!reports.isEmpty()) {
       take(reports, source);
     }
   }
 
   /** Forgets what has been quiet for long. */
-  public synchronized void forgetOutdated() {
+  public synchronized void removeExpired() {
     table.set(table.get().withoutExpired(clocks.nanos()));
   }
 
   private void take(List<CrashReport> reports, Source source) {
-    Lesson lesson;
+    Update update;
     synchronized (this) {
       CrashTable before = table.get();
-      CrashTable.Update update = before.with(reports, clocks.nanos());
-      table.set(update.table());
-      lesson = new Lesson(update.newReports(), changes(before, update), source);
+      CrashTable.Update tableUpdate = before.with(reports, clocks.nanos());
+      table.set(tableUpdate.table());
+      update = new Update(tableUpdate.newReports(), changes(before, tableUpdate), source);
     }
-    if (!lesson.news().isEmpty()) {
-      listeners.forEach(listener -> listener.learnt(lesson));
+    if (!update.newReports().isEmpty()) {
+      listeners.forEach(listener -> listener.updated(update));
     }
   }
 
--- a/core/src/main/java/org/magnoliaswitch/core/process/RequestCrashes.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/RequestCrashes.java
@@ -24,15 +24,15 @@
  */
 public final class RequestCrashes {
   /** Ends from which a request gets no further send of the same try. */
-  private static final int ENDS_WITHOUT_REPEAT = 2;
+  private static final int CRASHES_WITHOUT_RETRY = 2;
 
   private final CrashWatch watch;
   private final Clocks clocks;
-  private final long trialNoticeNanos;
+  private final long trialDelayNanos;
   private final Supplier<Identities> identify;
-  private final Set<String> perhapsEnded = ConcurrentHashMap.newKeySet();
+  private final Set<String> unconfirmedCrashes = ConcurrentHashMap.newKeySet();
   private volatile @Nullable Identities identities;
-  private volatile @Nullable Long trialSinceNanos;
+  private volatile @Nullable Long trialPendingSinceNanos;
 
   /**
    * What a request is.
@@ -40,14 +40,14 @@
    * @param content what it asks for
    * @param ofCaller the same, of this caller
    */
-  public record Identities(RequestIdentity content, RequestIdentity ofCaller) {
+  public record Identities(RequestIdentity content, RequestIdentity callerSpecific) {
     /** What it asks for, by itself and of one caller. */
     public static Identities of(RequestIdentity content, String caller) {
       return new Identities(content, content.forCaller(caller));
     }
 
     List<RequestIdentity> both() {
-      return List.of(content, ofCaller);
+      return List.of(content, callerSpecific);
     }
   }
 
@@ -62,7 +62,7 @@
       CrashWatch watch, Clocks clocks, long trialNoticeNanos, Supplier<Identities> identify) {
     this.watch = watch;
     this.clocks = clocks;
-    this.trialNoticeNanos = trialNoticeNanos;
+    this.trialDelayNanos = trialNoticeNanos;
     this.identify = identify;
   }
 
@@ -78,7 +78,7 @@
 
   /** What may be done with the request now. */
   public Verdict verdict() {
-    if (watch.quiet()) {
+    if (watch.isEmpty()) {
       return Verdict.ALLOWED;
     }
     Verdict verdict =
@@ -86,7 +86,7 @@
             .map(watch::verdict)
             .max(Comparator.naturalOrder())
             .orElse(Verdict.ALLOWED);
-    return verdict == Verdict.TRIAL && !noticed() ? Verdict.WAIT : verdict;
+    return verdict == Verdict.TRIAL && !trialDelayElapsed() ? Verdict.WAIT : verdict;
   }
 
   /**
@@ -94,14 +94,14 @@
    * reaches the next instance sooner than the news of its last try, and each instance would risk a
    * server of its own.
    */
-  private boolean noticed() {
+  private boolean trialDelayElapsed() {
     long now = clocks.nanos();
-    Long since = trialSinceNanos;
+    Long since = trialPendingSinceNanos;
     if (since == null) {
       since = now;
-      trialSinceNanos = since;
+      trialPendingSinceNanos = since;
     }
-    return now - since >= trialNoticeNanos;
+    return now - since >= trialDelayNanos;
   }
 
   /** Asked right before the request is written; a trial that is granted is told to all. */
@@ -110,7 +110,7 @@
     if (verdict == Verdict.TRIAL) {
       identities().both().stream()
           .filter(identity -> watch.verdict(identity) == Verdict.TRIAL)
-          .forEach(watch::tried);
+          .forEach(watch::recordTrial);
     }
     return verdict;
   }
@@ -122,13 +122,13 @@
    *
    * @param trial whether one of them is the trial that shows whether it is the cause
    */
-  public boolean stopsSends(boolean trial) {
-    if (watch.quiet()) {
+  public boolean mustCancelAttempts(boolean trial) {
+    if (watch.isEmpty()) {
       return false;
     }
     CrashTable table = watch.table();
     boolean confirmed = identities().both().stream().anyMatch(table::confirmed);
-    boolean suspect = table.suspicionLevel(identities().ofCaller()) == SuspicionLevel.SUSPECT;
+    boolean suspect = table.suspicionLevel(identities().callerSpecific()) == SuspicionLevel.SUSPECT;
     return confirmed || (suspect && !trial);
   }
 
@@ -145,8 +145,8 @@
   /**
    * A connection to a server ended under the request; whether the server did is being looked at.
    */
-  public void perhapsEnded(String server) {
-    perhapsEnded.add(server);
+  public void mayHaveCrashed(String server) {
+    unconfirmedCrashes.add(server);
   }
 
   /**
@@ -154,10 +154,10 @@
    *
    * @param warned whether the request was known for suspect when it was sent
    */
-  public void lookedAt(String server, boolean ended, boolean warned) {
-    perhapsEnded.remove(server);
+  public void recordConnectCheck(String server, boolean ended, boolean warned) {
+    unconfirmedCrashes.remove(server);
     if (ended) {
-      watch.ended(identities().both(), server, warned);
+      watch.recordCrash(identities().both(), server, warned);
     }
   }
 
@@ -166,15 +166,15 @@
    *
    * @param sentNanos when it was sent there
    */
-  public void answered(String server, long sentNanos) {
-    if (!watch.quiet()) {
-      watch.answered(identities().both(), server, sentNanos);
+  public void recordAnswer(String server, long sentNanos) {
+    if (!watch.isEmpty()) {
+      watch.recordAnswer(identities().both(), server, sentNanos);
     }
   }
 
   /** Whether a further send of this try may follow one that broke or brought a failure. */
-  public boolean mayRepeat() {
-    return suspectedEnds() < ENDS_WITHOUT_REPEAT;
+  public boolean mayRetry() {
+    return suspectedCrashes() < CRASHES_WITHOUT_RETRY;
   }
 
   /**
@@ -182,13 +182,13 @@
    * under it, that would put two at risk at a time.
    */
   public boolean mayHedge() {
-    return suspectedEnds() == 0;
+    return suspectedCrashes() == 0;
   }
 
   /** Servers that ended under the request, and those of this try that perhaps did. */
-  private int suspectedEnds() {
-    Set<String> all = new HashSet<>(perhapsEnded);
-    if (!watch.quiet()) {
+  private int suspectedCrashes() {
+    Set<String> all = new HashSet<>(unconfirmedCrashes);
+    if (!watch.isEmpty()) {
       identities()
           .both()
           .forEach(identity -> all.addAll(watch.table().serversCrashedDuring(identity)));
--- a/core/src/main/java/org/magnoliaswitch/core/request/AttemptRunner.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/AttemptRunner.java
@@ -193,7 +193,7 @@
       switch (result) {
         case AttemptResult.Answered answered -> {
           server.load().answered(now - started, now);
-          crashes.answered(ANY_INCARNATION, started);
+          crashes.recordAnswer(ANY_INCARNATION, started);
           request.service().counters().latency().add(now - started);
         }
         case AttemptResult.Refused refused -> {
@@ -232,9 +232,9 @@
      * Whether the server's process is gone shows by the next connection: one that lives takes it.
      */
     private void lookWhetherEnded() {
-      crashes.perhapsEnded(server.id());
+      crashes.mayHaveCrashed(server.id());
       boolean ended = server.pool().refusesConnections(CONNECT_TIMEOUT_MILLIS);
-      crashes.lookedAt(server.id(), ended, warned);
+      crashes.recordConnectCheck(server.id(), ended, warned);
       if (ended) {
         String identity = crashes.identities().content().toString();
         event(EventKind.SERVER_ENDED, "identity=" + identity + " warned=" + warned);
--- a/core/src/main/java/org/magnoliaswitch/core/request/Dispatcher.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/Dispatcher.java
@@ -176,10 +176,10 @@
       InboundRequest request, AttemptResult last, boolean outerRetry, RequestCrashes crashes) {
     return switch (last) {
       case AttemptResult.Answered answered -> false;
-      case AttemptResult.NotSent notSent -> crashes.mayRepeat();
+      case AttemptResult.NotSent notSent -> crashes.mayRetry();
       case AttemptResult.Refused refused -> !outerRetry && request.repeatable();
       case AttemptResult.Broken broken ->
-          !outerRetry && request.idempotent() && request.repeatable() && crashes.mayRepeat();
+          !outerRetry && request.idempotent() && request.repeatable() && crashes.mayRetry();
       case AttemptResult.TimedOut timedOut -> false;
     };
   }
--- a/core/src/test/java/org/magnoliaswitch/core/operator/SpreadTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/operator/SpreadTest.java
@@ -111,7 +111,7 @@
     platform.down(true);
     await(() -> instances.stream().allMatch(i -> i.state().membership().size() == 4));
     for (int i = 0; i < 3; i++) {
-      instances.get(i).state().crashes().ended(List.of(request), "server-" + i, i == 2);
+      instances.get(i).state().crashes().recordCrash(List.of(request), "server-" + i, i == 2);
     }
     await(() -> instances.stream().allMatch(i -> confirmed(i, request)));
     start(1);
--- a/core/src/test/java/org/magnoliaswitch/core/process/CrashWatchTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/CrashWatchTest.java
@@ -33,15 +33,15 @@
   private CrashWatch watch() {
     told.clear();
     CrashWatch watch = new CrashWatch(clocks);
-    watch.listen(lesson -> told.addAll(lesson.news()));
+    watch.addListener(update -> told.addAll(update.newReports()));
     return watch;
   }
 
   @Test
   public void whatItSeesIsToldOnce() {
     CrashWatch watch = watch();
-    watch.ended(List.of(REQUEST), "a", false);
-    watch.ended(List.of(REQUEST), "a", false);
+    watch.recordCrash(List.of(REQUEST), "a", false);
+    watch.recordCrash(List.of(REQUEST), "a", false);
     assertEquals(told, List.of(new CrashReport.Crashed(REQUEST, "a", false)));
   }
 
@@ -49,10 +49,10 @@
   @Test
   public void aTrialElsewhereIsWaitedFor() {
     CrashWatch watch = watch();
-    watch.ended(List.of(REQUEST), "a", false);
-    watch.ended(List.of(REQUEST), "b", false);
+    watch.recordCrash(List.of(REQUEST), "a", false);
+    watch.recordCrash(List.of(REQUEST), "b", false);
     assertEquals(watch.verdict(REQUEST), Verdict.TRIAL);
-    watch.heard(List.of(new CrashReport.TrialStarted(REQUEST, 1)), CrashWatch.Source.PEER);
+    watch.receive(List.of(new CrashReport.TrialStarted(REQUEST, 1)), CrashWatch.Source.PEER);
     assertEquals(watch.verdict(REQUEST), Verdict.WAIT);
   }
 
@@ -63,19 +63,19 @@
   @Test
   public void anInstanceThatNobodyHearsMakesNoTrial() {
     CrashWatch watch = watch();
-    watch.coordinateTrials(() -> false);
-    watch.ended(List.of(REQUEST), "a", false);
+    watch.allowTrialsWhen(() -> false);
+    watch.recordCrash(List.of(REQUEST), "a", false);
     assertEquals(watch.verdict(REQUEST), Verdict.ALLOWED);
-    watch.ended(List.of(REQUEST), "b", false);
+    watch.recordCrash(List.of(REQUEST), "b", false);
     assertEquals(watch.verdict(REQUEST), Verdict.REFUSED);
   }
 
   @Test
   public void anAnswerClearsAndIsTold() {
     CrashWatch watch = watch();
-    watch.ended(List.of(REQUEST), "a", false);
-    watch.ended(List.of(REQUEST), "b", false);
-    watch.answered(List.of(REQUEST), "c", nowNanos);
+    watch.recordCrash(List.of(REQUEST), "a", false);
+    watch.recordCrash(List.of(REQUEST), "b", false);
+    watch.recordAnswer(List.of(REQUEST), "c", nowNanos);
     assertEquals(watch.verdict(REQUEST), Verdict.ALLOWED);
     assertEquals(told.getLast(), new CrashReport.Cleared(REQUEST, Set.of("a", "b"), 0));
   }
@@ -84,21 +84,21 @@
   @Test
   public void aSignOfLifeTakesTheBlameFromAll() {
     CrashWatch watch = watch();
-    watch.ended(List.of(REQUEST), "a", false);
+    watch.recordCrash(List.of(REQUEST), "a", false);
     long sentBefore = nowNanos - 1;
-    watch.answered(List.of(new RequestIdentity(3, 4)), "a", sentBefore);
+    watch.recordAnswer(List.of(new RequestIdentity(3, 4)), "a", sentBefore);
     assertEquals(watch.table().serversCrashedDuring(REQUEST), Set.of("a"));
     nowNanos++;
-    watch.answered(List.of(new RequestIdentity(3, 4)), "a", nowNanos);
+    watch.recordAnswer(List.of(new RequestIdentity(3, 4)), "a", nowNanos);
     assertEquals(watch.table().serversCrashedDuring(REQUEST), Set.of());
   }
 
   @Test
   public void whileNothingIsKnownNothingIsLookedUp() {
     CrashWatch watch = watch();
-    assertTrue(watch.quiet());
-    watch.answered(List.of(REQUEST), "a", nowNanos);
-    assertTrue(watch.quiet());
+    assertTrue(watch.isEmpty());
+    watch.recordAnswer(List.of(REQUEST), "a", nowNanos);
+    assertTrue(watch.isEmpty());
     assertEquals(told, List.of());
   }
 }
--- a/core/src/test/java/org/magnoliaswitch/core/process/RequestCrashesTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/RequestCrashesTest.java
@@ -24,7 +24,7 @@
   public void start() {
     time = new ManualClock();
     watch = new CrashWatch(time.clocks());
-    watch.heard(
+    watch.receive(
         List.of(
             new CrashReport.Crashed(REQUEST, "a@0", false),
             new CrashReport.Crashed(REQUEST, "b@0", false)),
@@ -50,10 +50,10 @@
     RequestCrashes request = request(NOTICE);
     assertEquals(request.admit(), Verdict.WAIT);
     time.advance(Duration.ofMillis(10));
-    watch.heard(List.of(new CrashReport.TrialStarted(REQUEST, 1)), CrashWatch.Source.PEER);
+    watch.receive(List.of(new CrashReport.TrialStarted(REQUEST, 1)), CrashWatch.Source.PEER);
     time.advance(NOTICE);
     assertEquals(request.admit(), Verdict.WAIT);
-    watch.heard(List.of(new CrashReport.Crashed(REQUEST, "c@0", true)), CrashWatch.Source.PEER);
+    watch.receive(List.of(new CrashReport.Crashed(REQUEST, "c@0", true)), CrashWatch.Source.PEER);
     assertEquals(request.admit(), Verdict.REFUSED);
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/process/CrashArchive.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/CrashArchive.java
@@ -142,8 +142,8 @@
     List<CrashReport> cleared = cleared(foundNow);
     found.clear();
     found.addAll(foundNow);
-    watch.heard(current, CrashWatch.Source.STORE);
-    watch.heard(cleared, CrashWatch.Source.STORE);
+    watch.receive(current, CrashWatch.Source.STORE);
+    watch.receive(cleared, CrashWatch.Source.STORE);
     if (!removable.isEmpty() && !writing) {
       change(List.of(), removable);
     }
--- a/front/src/main/java/org/magnoliaswitch/front/process/CrashLog.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/CrashLog.java
@@ -18,21 +18,21 @@
       metrics.gauge(
           "crash." + lowerCaseName(level) + ".requests", () -> watch.table().count(level));
     }
-    watch.listen(this);
+    watch.addListener(this);
   }
 
   @Override
-  public void learnt(CrashWatch.Lesson lesson) {
-    lesson.changes().forEach(change -> logChange(change, lesson.source()));
+  public void updated(CrashWatch.Update update) {
+    update.changes().forEach(change -> logChange(change, update.source()));
   }
 
   private void logChange(CrashWatch.Change change, CrashWatch.Source source) {
-    metrics.count("crash.standings", "", lowerCaseName(change.standing()));
+    metrics.count("crash.standings", "", lowerCaseName(change.level()));
     log.stateChange("crash_standing")
         .add("identity", change.request().toString())
-        .add("standing", lowerCaseName(change.standing()))
-        .add("ends", change.ends().size())
-        .add("servers", String.join("/", change.ends()))
+        .add("standing", lowerCaseName(change.level()))
+        .add("ends", change.crashedServers().size())
+        .add("servers", String.join("/", change.crashedServers()))
         .add("source", lowerCaseName(source))
         .write();
   }
--- a/front/src/main/java/org/magnoliaswitch/front/process/StateSync.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StateSync.java
@@ -97,7 +97,7 @@
                     knownState.evacuations(),
                     knownState.servers(),
                     environment.crashes().table()),
-            reports -> environment.crashes().heard(reports, CrashWatch.Source.LISTENER),
+            reports -> environment.crashes().receive(reports, CrashWatch.Source.LISTENER),
             this::receivedFromListener);
   }
 
@@ -119,9 +119,9 @@
         subscription.start();
       }
     }
-    environment.crashes().listen(lesson -> loop.execute(() -> enqueue(lesson)));
-    environment.crashes().coordinateTrials(this::reachesOthers);
-    loop.everyMillis(EXPIRY_MILLIS, environment.crashes()::forgetOutdated);
+    environment.crashes().addListener(update -> loop.execute(() -> enqueue(update)));
+    environment.crashes().allowTrialsWhen(this::reachesOthers);
+    loop.everyMillis(EXPIRY_MILLIS, environment.crashes()::removeExpired);
     loop.everyMillis(ACKNOWLEDGE_MILLIS, this::acknowledge);
     poller.start();
     environment.metrics().gauge("configuration.version", knownState::routesVersion);
@@ -143,15 +143,15 @@
    * seeds, and they publish them to all their listeners; so a report reaches each instance once
    * from each seed and is never sent back.
    */
-  private void enqueue(CrashWatch.Lesson lesson) {
-    if (lesson.source() == CrashWatch.Source.OWN) {
-      archive.recordOwn(lesson.news());
-      pendingReports.addAll(lesson.news());
+  private void enqueue(CrashWatch.Update update) {
+    if (update.source() == CrashWatch.Source.OWN) {
+      archive.recordOwn(update.newReports());
+      pendingReports.addAll(update.newReports());
     }
     if (pendingPublications.isEmpty()) {
       loop.afterMillis(BATCH_MILLIS, this::publishBatch);
     }
-    pendingPublications.addAll(lesson.news());
+    pendingPublications.addAll(update.newReports());
   }
 
   private void publishBatch() {
@@ -178,7 +178,7 @@
     updateInstances();
     poller.received(update, servers);
     acknowledge();
-    environment.crashes().heard(update.crashes(), CrashWatch.Source.PEER);
+    environment.crashes().receive(update.crashes(), CrashWatch.Source.PEER);
   }
 
   private void publish() {
--- a/front/src/main/java/org/magnoliaswitch/front/request/CrashDetector.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/CrashDetector.java
@@ -44,14 +44,14 @@
    */
   void connectionBroken(ServerPool pool, boolean trial) {
     String server = pool.state().entry().incarnation();
-    crashes.perhapsEnded(server);
+    crashes.mayHaveCrashed(server);
     pool.checkCrashed(
         crashed -> {
           if (crashed) {
             environment.servers().recordUnreachable(pool.state());
             logCrash(server, trial);
           }
-          crashes.lookedAt(server, crashed, trial);
+          crashes.recordConnectCheck(server, crashed, trial);
         });
   }
 
@@ -62,13 +62,13 @@
         .add("server", server)
         .add("request", requestId)
         .add("identity", crashes.identities().content().toString())
-        .add("of_caller", crashes.identities().ofCaller().toString())
+        .add("of_caller", crashes.identities().callerSpecific().toString())
         .add("warned", String.valueOf(trial))
         .write();
   }
 
   /** Records that the server has executed the request and answered. */
   void answered(ServerPool pool, long sentNanos) {
-    crashes.answered(pool.state().entry().incarnation(), sentNanos);
+    crashes.recordAnswer(pool.state().entry().incarnation(), sentNanos);
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/request/FrontDispatcher.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/FrontDispatcher.java
@@ -28,7 +28,7 @@
     this.environment = environment;
     this.pendingQueue = new PendingQueue<>(environment.settings().mechanisms());
     this.finder = new ServerSearch(environment, new LoadProber(environment));
-    environment.crashes().listen(change -> environment.loop().execute(this::crashesChanged));
+    environment.crashes().addListener(change -> environment.loop().execute(this::crashesChanged));
   }
 
   private void crashesChanged() {
--- a/front/src/main/java/org/magnoliaswitch/front/request/FurtherAttempts.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/FurtherAttempts.java
@@ -83,7 +83,7 @@
     if (attempts >= route.maxServers()) {
       return Optional.of("most_servers");
     }
-    if (!crashes.mayRepeat()) {
+    if (!crashes.mayRetry()) {
       return Optional.of(RoutedExchange.CRASHES_SERVERS);
     }
     if (times.remainingNanos() <= 0) {
--- a/front/src/main/java/org/magnoliaswitch/front/request/RoutedExchange.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RoutedExchange.java
@@ -177,7 +177,7 @@
    */
   void crashesChanged() {
     boolean trial = openAttempts.stream().anyMatch(Attempt::trial);
-    if (done || !crashDetector.crashes().stopsSends(trial)) {
+    if (done || !crashDetector.crashes().mustCancelAttempts(trial)) {
       return;
     }
     if (openAttempts.isEmpty()) {
--- a/front/src/test/java/org/magnoliaswitch/front/process/CrashArchiveTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/CrashArchiveTest.java
@@ -92,7 +92,7 @@
   private void observe(CrashReport.Crashed... reports) throws InterruptedException {
     onLoop(
         () -> {
-          environment.crashes().heard(List.of(reports), CrashWatch.Source.OWN);
+          environment.crashes().receive(List.of(reports), CrashWatch.Source.OWN);
           archive.recordOwn(List.of(reports));
         });
   }
@@ -114,7 +114,7 @@
   @Test
   public void crashClearedInTimeIsNotWritten() throws InterruptedException {
     observe(ended("a"));
-    environment.crashes().answered(List.of(REQUEST), "b", environment.clocks().nanos());
+    environment.crashes().recordAnswer(List.of(REQUEST), "b", environment.clocks().nanos());
     RequestIdentity other = new RequestIdentity(3, 4);
     CrashReport.Crashed later = new CrashReport.Crashed(other, "c", false);
     observe(later);
@@ -170,7 +170,7 @@
   @Test
   public void clearedAndExpiredRowsAreRemoved() throws InterruptedException {
     observe(ended("a"), ended("b"));
-    environment.crashes().answered(List.of(REQUEST), "c", environment.clocks().nanos());
+    environment.crashes().recordAnswer(List.of(REQUEST), "c", environment.clocks().nanos());
     CrashReport.Crashed old = new CrashReport.Crashed(new RequestIdentity(5, 6), "d", false);
     long yesterday = environment.clocks().millis() - TimeUnit.DAYS.toMillis(1) - 1;
     store.rows.add(now(ended("a")));
--- a/front/src/test/java/org/magnoliaswitch/front/process/StateSyncTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/StateSyncTest.java
@@ -205,13 +205,13 @@
       TestInstance reporter = new TestInstance(freePort(), List.of(at(port)), platform);
       TestInstance other = new TestInstance(freePort(), List.of(at(port)), platform);
       AtomicInteger received = new AtomicInteger();
-      other.environment.crashes().listen(lesson -> received.incrementAndGet());
+      other.environment.crashes().addListener(update -> received.incrementAndGet());
       while (other.environment.instances().count() < 3) {
         Thread.onSpinWait();
       }
       for (int i = 0; i < count; i++) {
         RequestIdentity request = new RequestIdentity(1, i);
-        reporter.environment.crashes().ended(List.of(request), "a@0", false);
+        reporter.environment.crashes().recordCrash(List.of(request), "a@0", false);
       }
       while (other.environment.crashes().table().count(SuspicionLevel.UNSUSPECTED) < count) {
         Thread.onSpinWait();
--- a/front/src/test/java/org/magnoliaswitch/front/request/CrashingRequestTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/CrashingRequestTest.java
@@ -222,7 +222,7 @@
         CompletableFuture<CallerResponse> response =
             dispatch(environment, new FrontDispatcher(environment));
         holding.arrived.acquire();
-        environment.crashes().heard(TWO_CRASHES, CrashWatch.Source.PEER);
+        environment.crashes().receive(TWO_CRASHES, CrashWatch.Source.PEER);
         holding.released.countDown();
         assertEquals(response.join().status().code(), 200);
         assertEquals(environment.crashes().table().serversCrashedDuring(IDENTITY), Set.of());
@@ -246,7 +246,7 @@
             List.of(
                 new CrashReport.Crashed(OF_CALLER, "x@0", false),
                 new CrashReport.Crashed(OF_CALLER, "y@0", false));
-        environment.crashes().heard(twoCrashes, CrashWatch.Source.PEER);
+        environment.crashes().receive(twoCrashes, CrashWatch.Source.PEER);
         assertEquals(response.join().status().code(), 502);
         holding.released.countDown();
         environment.loop().stop();
@@ -265,8 +265,8 @@
         CompletableFuture<CallerResponse> response =
             dispatch(environment, new FrontDispatcher(environment));
         holding.arrived.acquire();
-        environment.crashes().heard(TWO_CRASHES, CrashWatch.Source.PEER);
-        environment.crashes().heard(TRIAL_CRASHED, CrashWatch.Source.PEER);
+        environment.crashes().receive(TWO_CRASHES, CrashWatch.Source.PEER);
+        environment.crashes().receive(TRIAL_CRASHED, CrashWatch.Source.PEER);
         holding.released.countDown();
         assertEquals(response.join().status().code(), 200);
         environment.loop().stop();
@@ -283,7 +283,7 @@
       try (ScriptedServer a = new ScriptedServer("a", holding::handle);
           ScriptedServer b = new ScriptedServer("b", holding::handle)) {
         Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, a, b);
-        environment.crashes().heard(TWO_CRASHES, CrashWatch.Source.PEER);
+        environment.crashes().receive(TWO_CRASHES, CrashWatch.Source.PEER);
         FrontDispatcher handler = new FrontDispatcher(environment);
         CompletableFuture<CallerResponse> first = dispatch(environment, handler);
         holding.arrived.acquire();
@@ -306,13 +306,13 @@
       HoldingServer holding = new HoldingServer();
       try (ScriptedServer server = new ScriptedServer("a", holding::handle)) {
         Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, server);
-        environment.crashes().heard(TWO_CRASHES, CrashWatch.Source.PEER);
+        environment.crashes().receive(TWO_CRASHES, CrashWatch.Source.PEER);
         environment
             .crashes()
-            .heard(List.of(new CrashReport.TrialStarted(IDENTITY, 1)), CrashWatch.Source.PEER);
+            .receive(List.of(new CrashReport.TrialStarted(IDENTITY, 1)), CrashWatch.Source.PEER);
         CompletableFuture<CallerResponse> response =
             dispatch(environment, new FrontDispatcher(environment));
-        environment.crashes().heard(TRIAL_CRASHED, CrashWatch.Source.PEER);
+        environment.crashes().receive(TRIAL_CRASHED, CrashWatch.Source.PEER);
         assertEquals(response.join().status().code(), 503);
         assertTrue(Double.parseDouble(response.join().headers().get("retry-after")) > 3_000);
         assertEquals(server.received().size(), 0);
@@ -335,7 +335,7 @@
           assertEquals(dispatch(environment, handler).join().status().code(), 502);
         }
         assertEquals(server.received().size(), 5);
-        assertTrue(environment.crashes().quiet());
+        assertTrue(environment.crashes().isEmpty());
         environment.loop().stop();
       }
     }
