--- a/core/src/main/java/org/magnoliaswitch/core/operator/ChangeService.java
+++ b/core/src/main/java/org/magnoliaswitch/core/operator/ChangeService.java
@@ -82,7 +82,7 @@
     try {
       contents.values().forEach(control.cache()::put);
       if (control.state().version().adopt(accepted.head().manifest())) {
-        control.gossip().pushNews();
+        control.gossip().pushUpdate();
       }
     } catch (IOException e) {
       // It is accepted all the same; this instance follows as any other does.
--- a/core/src/main/java/org/magnoliaswitch/core/process/ConfigurationFollower.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ConfigurationFollower.java
@@ -47,14 +47,14 @@
   }
 
   private synchronized boolean follow(long version, String manifest, Source source) {
-    if (!current.wants(version, manifest)) {
+    if (!current.shouldFetch(version, manifest)) {
       return false;
     }
     try {
       if (cache.get(manifest).isEmpty()) {
         keep(source.fetch(List.of(manifest)), List.of(manifest));
       }
-      List<String> missing = current.missing(manifest);
+      List<String> missing = current.missingParts(manifest);
       if (!missing.isEmpty()) {
         keep(source.fetch(missing), missing);
       }
--- a/core/src/main/java/org/magnoliaswitch/core/process/ControlPlane.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ControlPlane.java
@@ -29,11 +29,11 @@
 /** Membership, configuration and claims of one instance, with their timers and peer listener. */
 public final class ControlPlane implements AutoCloseable {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-  private static final int TIMELINE_EVENTS = 20_000;
-  private static final int FIRST_MEETINGS = 8;
+  private static final int TIMELINE_CAPACITY = 20_000;
+  private static final int INITIAL_EXCHANGES = 8;
   private static final long MAINTENANCE_MILLIS = 1_000;
-  private static final long RECORD_MILLIS = 2_000;
-  private static final int LEAVE_MEETINGS = 6;
+  private static final long OUTCOME_FLUSH_MILLIS = 2_000;
+  private static final int LEAVE_EXCHANGES = 6;
   private static final long PROBE_TICK_MILLIS = 100;
 
   /**
@@ -69,7 +69,7 @@
       Executors.newSingleThreadScheduledExecutor(
           Thread.ofPlatform().name("control-timer").daemon().factory());
   private final ExecutorService executor = Executors.newVirtualThreadPerTaskExecutor();
-  private volatile int sharedAmong = 1;
+  private volatile int lastInstanceCount = 1;
   private volatile boolean caughtUp;
 
   public ControlPlane(Setup setup, Platform platform, Clocks clocks, RandomGenerator random)
@@ -78,7 +78,7 @@
     this.platform = platform;
     Member self = setup.identity().newIncarnation();
     HybridClock hybrid = new HybridClock(clocks.wall());
-    Timeline timeline = new Timeline(setup.identity().instance(), hybrid, TIMELINE_EVENTS);
+    Timeline timeline = new Timeline(setup.identity().instance(), hybrid, TIMELINE_CAPACITY);
     this.cache = new ContentCache();
     CurrentVersion version = new CurrentVersion(cache, timeline);
     Membership membership = new Membership(self, clocks);
@@ -98,8 +98,8 @@
         new Gossip(setup.gossip(), setup.seeds(), state, follower, client, random, executor);
     this.crashGossip = new CrashGossip(crashes, gossip, client, timeline, executor);
     this.registry = new ServiceRegistry(membership, clocks);
-    version.listen(registry::apply);
-    this.prober = new Prober(registry, state, clocks, gossip::pushNews);
+    version.addListener(registry::apply);
+    this.prober = new Prober(registry, state, clocks, gossip::pushUpdate);
     this.issuer = new KeyIssuer(self.incarnation(), setup.secret(), clocks);
     this.ledger = new OutcomeLedger(clocks);
     this.records = new OutcomeRecords(platform.objects(), self.incarnation(), clocks);
@@ -117,12 +117,12 @@
   /** Begins to meet peers and to follow the configuration. */
   public void start() {
     executor.execute(this::catchUp);
-    repeat(gossip::meetOne, gossip::nextMeetingMillis);
-    repeat(crashGossip::repair, gossip::nextMeetingMillis);
-    repeat(this::pollStore, gossip::nextStorePollMillis);
-    repeat(this::maintain, () -> MAINTENANCE_MILLIS);
-    repeat(this::record, () -> RECORD_MILLIS);
-    repeat(prober::probeDue, () -> PROBE_TICK_MILLIS);
+    scheduleRepeatedly(gossip::exchangeWithRandomPeer, gossip::nextExchangeMillis);
+    scheduleRepeatedly(crashGossip::repair, gossip::nextExchangeMillis);
+    scheduleRepeatedly(this::pollStore, gossip::nextStorePollMillis);
+    scheduleRepeatedly(this::maintain, () -> MAINTENANCE_MILLIS);
+    scheduleRepeatedly(this::record, () -> OUTCOME_FLUSH_MILLIS);
+    scheduleRepeatedly(prober::probeDue, () -> PROBE_TICK_MILLIS);
   }
 
   /**
@@ -132,7 +132,7 @@
    * with a version that most others have left behind.
    */
   public void catchUp() {
-    int answered = gossip.meetMany(FIRST_MEETINGS);
+    int answered = gossip.exchangeWithPeers(INITIAL_EXCHANGES);
     pollStore();
     caughtUp = true;
     logger.atInfo().log(
@@ -148,11 +148,11 @@
   public void leave() {
     state.timeline().record(EventKind.STOPPING, "");
     state.membership().leave();
-    gossip.meetMany(LEAVE_MEETINGS);
+    gossip.exchangeWithPeers(LEAVE_EXCHANGES);
   }
 
   /** Writes the last outcome record; call it when no request is at work any more. */
-  public void recordLast() {
+  public void writeFinalRecord() {
     try {
       records.close(ledger);
     } catch (PlatformException e) {
@@ -187,17 +187,17 @@
   private void pollStore() {
     try {
       boolean news = follower.followStore();
-      state.contact().made();
+      state.contact().recordContact();
       if (news) {
-        gossip.pushNews();
+        gossip.pushUpdate();
       }
-      takeList(platform.instances().list());
+      mergeInstanceList(platform.instances().list());
     } catch (PlatformException e) {
       state.timeline().record(EventKind.PLATFORM_UNAVAILABLE, "");
     }
   }
 
-  private void takeList(List<InstanceList.Listed> listed) {
+  private void mergeInstanceList(List<InstanceList.Listed> listed) {
     LeavingServers leaving = state.leaving();
     Set<String> leavingNow =
         listed.stream()
@@ -206,19 +206,19 @@
             .collect(Collectors.toSet());
     boolean news = false;
     for (String id : leavingNow) {
-      news |= tell(id, true, leaving.noticed(id, LeavingMark.Sign.LIST));
+      news |= recordLeaving(id, true, leaving.noticed(id, LeavingMark.Sign.LIST));
     }
     for (String id : leaving.leavingBy(LeavingMark.Sign.LIST)) {
       if (!leavingNow.contains(id)) {
-        news |= tell(id, false, leaving.returned(id, LeavingMark.Sign.LIST));
+        news |= recordLeaving(id, false, leaving.returned(id, LeavingMark.Sign.LIST));
       }
     }
     if (news) {
-      gossip.pushNews();
+      gossip.pushUpdate();
     }
   }
 
-  private boolean tell(String server, boolean leaves, boolean news) {
+  private boolean recordLeaving(String server, boolean leaves, boolean news) {
     if (news) {
       state
           .timeline()
@@ -232,11 +232,11 @@
     state.crashes().removeExpired();
     ledger.expire();
     int instances = state.membership().size();
-    if (instances != sharedAmong) {
-      sharedAmong = instances;
-      registry.shareAnew();
+    if (instances != lastInstanceCount) {
+      lastInstanceCount = instances;
+      registry.redistribute();
     }
-    registry.state().handles().forEach(this::tidy);
+    registry.state().handles().forEach(this::closeUnusedConnections);
   }
 
   /**
@@ -244,7 +244,7 @@
    * idle after its replacement a few seconds later, such connections broke 34 reads of a rolling
    * replacement.
    */
-  private void tidy(ServerHandle handle) {
+  private void closeUnusedConnections(ServerHandle handle) {
     boolean leaves =
         handle.server().state() == ServerState.DRAINING || state.leaving().leaving(handle.id());
     if (leaves) {
@@ -262,7 +262,7 @@
     }
   }
 
-  private void repeat(Runnable task, LongSupplier delayMillis) {
+  private void scheduleRepeatedly(Runnable task, LongSupplier delayMillis) {
     Runnable once =
         () -> {
           try {
@@ -270,7 +270,7 @@
           } catch (RuntimeException e) {
             logger.atSevere().withCause(e).log("event=control_task_failed");
           } finally {
-            repeat(task, delayMillis);
+            scheduleRepeatedly(task, delayMillis);
           }
         };
     try {
--- a/core/src/main/java/org/magnoliaswitch/core/process/CrashGossip.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/CrashGossip.java
@@ -53,7 +53,7 @@
   /** Compares with a few peers, which repairs what a push has missed; called now and then. */
   void repair() {
     if (!crashes.isEmpty()) {
-      gossip.fewPeers().forEach(peer -> send(peer, all()));
+      gossip.pushTargets().forEach(peer -> send(peer, all()));
     }
   }
 
@@ -80,7 +80,7 @@
   private void push(List<CrashReport> news) {
     PeerMessage.Crashes message = new PeerMessage.Crashes(CrashReportCodec.encode(news));
     try {
-      gossip.fewPeers().forEach(peer -> executor.execute(() -> send(peer, message)));
+      gossip.pushTargets().forEach(peer -> executor.execute(() -> send(peer, message)));
     } catch (RejectedExecutionException e) {
       logger.atFine().log("event=crash_gossip_stopped");
     }
--- a/core/src/main/java/org/magnoliaswitch/core/process/CurrentVersion.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/CurrentVersion.java
@@ -27,7 +27,7 @@
   private final ContentCache cache;
   private final Timeline timeline;
   private final AtomicReference<Snapshot> current = new AtomicReference<>(Snapshot.EMPTY);
-  private final AtomicReference<String> refusedDigest = new AtomicReference<>("");
+  private final AtomicReference<String> rejectedDigest = new AtomicReference<>("");
   private final List<Consumer<Snapshot>> listeners = new CopyOnWriteArrayList<>();
 
   public CurrentVersion(ContentCache cache, Timeline timeline) {
@@ -41,17 +41,17 @@
   }
 
   /** Calls a listener after every swap. */
-  public void listen(Consumer<Snapshot> listener) {
+  public void addListener(Consumer<Snapshot> listener) {
     listeners.add(listener);
   }
 
   /** Whether a version is news worth fetching. */
-  public boolean wants(long version, String manifestDigest) {
-    return version > current.get().version() && !manifestDigest.equals(refusedDigest.get());
+  public boolean shouldFetch(long version, String manifestDigest) {
+    return version > current.get().version() && !manifestDigest.equals(rejectedDigest.get());
   }
 
   /** Digests of a manifest's parts that are not held yet; the manifest itself must be held. */
-  public List<String> missing(String manifestDigest) throws IOException {
+  public List<String> missingParts(String manifestDigest) throws IOException {
     List<String> missing = new ArrayList<>(manifest(manifestDigest).parts().values());
     missing.removeIf(digest -> cache.get(digest).isPresent());
     return missing;
@@ -71,7 +71,7 @@
    */
   public synchronized boolean adopt(String manifestDigest) throws IOException {
     Manifest manifest = manifest(manifestDigest);
-    if (!wants(manifest.version(), manifestDigest)) {
+    if (!shouldFetch(manifest.version(), manifestDigest)) {
       return false;
     }
     Map<String, byte[]> parts = new HashMap<>();
@@ -92,13 +92,13 @@
       listeners.forEach(listener -> listener.accept(next));
       return true;
     } catch (InvalidDeclarationException e) {
-      refuse(manifest, manifestDigest, e);
+      reject(manifest, manifestDigest, e);
       return false;
     }
   }
 
-  private void refuse(Manifest manifest, String digest, InvalidDeclarationException cause) {
-    refusedDigest.set(digest);
+  private void reject(Manifest manifest, String digest, InvalidDeclarationException cause) {
+    rejectedDigest.set(digest);
     timeline.record(EventKind.VERSION_REFUSED, "version=" + manifest.version());
     logger.atSevere().log(
         "event=version_refused version=%d kept=%d problems=%s",
--- a/core/src/main/java/org/magnoliaswitch/core/process/Gossip.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Gossip.java
@@ -35,9 +35,9 @@
    * Share of meetings with a peer that a connection is kept to. Opening one costs more bytes than a
    * meeting; the others bring in new peers, so that the kept ones change all the time.
    */
-  private static final double KEPT_SHARE = 0.8;
+  private static final double CONNECTED_SHARE = 0.8;
 
-  private static final int MAX_PUSHES_AT_ONCE = 16;
+  private static final int MAX_CONCURRENT_PUSHES = 16;
 
   private final GossipSettings settings;
   private final List<Address> seeds;
@@ -50,7 +50,7 @@
   private final Timeline timeline;
   private final RandomGenerator random;
   private final Executor executor;
-  private final Semaphore pushes = new Semaphore(MAX_PUSHES_AT_ONCE);
+  private final Semaphore pushes = new Semaphore(MAX_CONCURRENT_PUSHES);
 
   public Gossip(
       GossipSettings settings,
@@ -74,23 +74,23 @@
   }
 
   /** Meets one random peer; called every interval. */
-  public void meetOne() {
+  public void exchangeWithRandomPeer() {
     List<Address> peers = pick(1);
-    peers.forEach(this::meet);
+    peers.forEach(this::exchange);
   }
 
   /** Meets as many peers as are known, up to a bound; returns how many answered. */
-  public int meetMany(int bound) {
+  public int exchangeWithPeers(int bound) {
     int answered = 0;
     for (Address peer : pick(bound)) {
-      answered += meet(peer) ? 1 : 0;
+      answered += exchange(peer) ? 1 : 0;
     }
     return answered;
   }
 
   /** Tells a few peers at once; called when there is news. */
-  public void pushNews() {
-    for (Address peer : pick(settings.eagerPeers())) {
+  public void pushUpdate() {
+    for (Address peer : pick(settings.pushFanout())) {
       push(peer);
     }
   }
@@ -115,8 +115,8 @@
   }
 
   /** A few peers, chosen as for news. */
-  List<Address> fewPeers() {
-    return pick(settings.eagerPeers());
+  List<Address> pushTargets() {
+    return pick(settings.pushFanout());
   }
 
   private void push(Address peer) {
@@ -127,7 +127,7 @@
       executor.execute(
           () -> {
             try {
-              meet(peer);
+              exchange(peer);
             } finally {
               pushes.release();
             }
@@ -137,7 +137,7 @@
     }
   }
 
-  private boolean meet(Address peer) {
+  private boolean exchange(Address peer) {
     try {
       PeerMessage reply = client.call(peer, new PeerMessage.Gossip(digest()), CALL_TIMEOUT_MILLIS);
       if (reply instanceof PeerMessage.Gossip gossip) {
@@ -151,7 +151,7 @@
   }
 
   private void merge(GossipDigest received) {
-    contact.made();
+    contact.recordContact();
     timeline.clock().merge(received.time());
     boolean news = false;
     for (Member member : received.members()) {
@@ -164,11 +164,12 @@
         news = true;
       }
     }
-    if (version.wants(received.version(), received.manifest()) && !received.members().isEmpty()) {
+    if (version.shouldFetch(received.version(), received.manifest())
+        && !received.members().isEmpty()) {
       fetch(received);
     }
     if (news) {
-      pushNews();
+      pushUpdate();
     }
   }
 
@@ -177,7 +178,7 @@
     executor.execute(
         () -> {
           if (follower.followPeer(sender, received.version(), received.manifest())) {
-            pushNews();
+            pushUpdate();
           }
         });
   }
@@ -224,7 +225,7 @@
     if (known.isEmpty() || (draw < SEED_SHARE && !others.isEmpty())) {
       return others;
     }
-    return draw < KEPT_SHARE && !kept.isEmpty() ? kept : known;
+    return draw < CONNECTED_SHARE && !kept.isEmpty() ? kept : known;
   }
 
   /**
@@ -236,7 +237,7 @@
   }
 
   /** Milliseconds until the next meeting, jittered so that instances do not march in step. */
-  public long nextMeetingMillis() {
+  public long nextExchangeMillis() {
     return settings.intervalMillis() * 3L / 4 + random.nextLong(settings.intervalMillis() / 2);
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/GossipSettings.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/GossipSettings.java
@@ -9,7 +9,7 @@
  * @param storePollMillis time between reads of the head row by all instances together
  */
 public record GossipSettings(
-    int intervalMillis, int sampleSize, int eagerPeers, int storePollMillis) {
+    int intervalMillis, int sampleSize, int pushFanout, int storePollMillis) {
   /** What the scale measurements chose. */
   public static final GossipSettings DEFAULT = new GossipSettings(1_000, 4, 3, 1_000);
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/LastContact.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/LastContact.java
@@ -12,7 +12,7 @@
   /**
    * News takes a second or two to reach all; an instance that hears nothing for longer is alone.
    */
-  private static final long ALONE_NANOS = TimeUnit.SECONDS.toNanos(5);
+  private static final long ISOLATION_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   private final Clocks clocks;
   private volatile @Nullable Long lastNanos;
@@ -22,13 +22,13 @@
   }
 
   /** Notes that a peer or the platform has answered. */
-  public void made() {
+  public void recordContact() {
     lastNanos = clocks.nanos();
   }
 
   /** Whether nobody has told this instance for some time which version is the newest. */
-  public boolean alone() {
+  public boolean isolated() {
     Long last = lastNanos;
-    return last == null || clocks.nanos() - last > ALONE_NANOS;
+    return last == null || clocks.nanos() - last > ISOLATION_TIMEOUT_NANOS;
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/ServiceRegistry.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ServiceRegistry.java
@@ -63,7 +63,7 @@
   }
 
   /** Shares servers anew when the number of instances has changed. */
-  public synchronized void shareAnew() {
+  public synchronized void redistribute() {
     rebuild(state.snapshot());
   }
 
--- a/core/src/main/java/org/magnoliaswitch/core/request/RequestService.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/RequestService.java
@@ -18,7 +18,8 @@
     ControlState state = control.state();
     this.timeline = state.timeline();
     AttemptRunner runner =
-        new AttemptRunner(control.clocks(), timeline, state.leaving(), control.gossip()::pushNews);
+        new AttemptRunner(
+            control.clocks(), timeline, state.leaving(), control.gossip()::pushUpdate);
     this.dispatcher =
         new Dispatcher(
             control.clocks(),
--- a/core/src/test/java/org/magnoliaswitch/core/operator/SpreadTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/operator/SpreadTest.java
@@ -96,7 +96,7 @@
     platform.down(true);
     await(() -> instances.stream().allMatch(i -> i.state().membership().size() == 4));
     instances.getFirst().state().leaving().noticed("server-1", LeavingMark.Sign.OPERATOR);
-    instances.getFirst().gossip().pushNews();
+    instances.getFirst().gossip().pushUpdate();
     await(() -> instances.stream().allMatch(i -> i.state().leaving().leaving("server-1")));
   }
 
--- a/core/src/test/java/org/magnoliaswitch/core/process/CurrentVersionTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/CurrentVersionTest.java
@@ -42,7 +42,7 @@
       List<Long> order = new ArrayList<>(List.of(1L, 2L, 3L, 4L, 5L, 6L));
       Collections.shuffle(order, new Random(seed));
       List<Long> seen = new ArrayList<>();
-      current.listen(snapshot -> seen.add(snapshot.version()));
+      current.addListener(snapshot -> seen.add(snapshot.version()));
       for (long version : order) {
         current.adopt(publish(version, Declarations.service(8001)));
       }
@@ -64,8 +64,8 @@
   public void doesNotAskAgainForAVersionItRefused() throws IOException {
     String digest = publish(2, Declarations.service());
     current.adopt(digest);
-    assertFalse(current.wants(2, digest));
-    assertTrue(current.wants(3, "other"));
+    assertFalse(current.shouldFetch(2, digest));
+    assertTrue(current.shouldFetch(3, "other"));
   }
 
   @Test
--- a/entry/src/main/java/org/magnoliaswitch/entry/GracefulStop.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/GracefulStop.java
@@ -34,7 +34,7 @@
     control.leave();
     await(settings.stopUnreadyMillis());
     boolean finished = callers.stop(settings.stopLimitMillis());
-    control.recordLast();
+    control.writeFinalRecord();
     control.close();
     logger.atInfo().log("event=stopped finished=%s", finished);
     // The Java machine would end with the signal's code; an orderly stop is told by 0.
--- a/entry/src/main/java/org/magnoliaswitch/entry/OperatorResource.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/OperatorResource.java
@@ -85,7 +85,7 @@
   public Response leaving(@PathParam("id") String id) {
     if (control.state().leaving().noticed(id, LeavingMark.Sign.OPERATOR)) {
       control.state().timeline().record(EventKind.SERVER_LEAVING, "", "", id, "sign=operator");
-      control.gossip().pushNews();
+      control.gossip().pushUpdate();
     }
     return Response.noContent().build();
   }
--- a/entry/src/main/java/org/magnoliaswitch/entry/RequestReader.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/RequestReader.java
@@ -109,7 +109,7 @@
 
   /** A version that nobody has vouched for lately may lack what a newer one has. */
   private Reading unknown(String reason) {
-    return control.state().contact().alone()
+    return control.state().contact().isolated()
         ? refused(UNAVAILABLE, "the configuration may be old: " + reason)
         : refused(NOT_FOUND, reason);
   }
