--- a/core/src/main/java/org/magnoliaswitch/core/process/ControlPlane.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ControlPlane.java
@@ -206,11 +206,11 @@
             .collect(Collectors.toSet());
     boolean news = false;
     for (String id : leavingNow) {
-      news |= recordLeaving(id, true, leaving.noticed(id, LeavingMark.Sign.LIST));
+      news |= recordLeaving(id, true, leaving.markLeaving(id, LeavingMark.Sign.LIST));
     }
     for (String id : leaving.leavingBy(LeavingMark.Sign.LIST)) {
       if (!leavingNow.contains(id)) {
-        news |= recordLeaving(id, false, leaving.returned(id, LeavingMark.Sign.LIST));
+        news |= recordLeaving(id, false, leaving.markReturned(id, LeavingMark.Sign.LIST));
       }
     }
     if (news) {
--- a/core/src/main/java/org/magnoliaswitch/core/process/LeavingServers.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/LeavingServers.java
@@ -19,12 +19,12 @@
  */
 public final class LeavingServers {
   /** Longer than the time between first-hand signs of a server that goes on leaving. */
-  private static final long MARK_MILLIS = 30_000;
+  private static final long MARK_LIFETIME_MILLIS = 30_000;
 
   /** First-hand signs repeat what is known at most this often, so that news stays rare. */
-  private static final long RENEW_MILLIS = 5_000;
+  private static final long RENEWAL_MILLIS = 5_000;
 
-  private static final int MAX_SPREAD = 12;
+  private static final int MAX_MARKS_PER_MESSAGE = 12;
 
   private record Key(String server, Sign sign) {}
 
@@ -36,16 +36,16 @@
   }
 
   /** Notes a first-hand sign that a server leaves; true when it is news worth telling. */
-  public boolean noticed(String server, Sign sign) {
-    return note(new LeavingMark(server, sign, clocks.millis(), true));
+  public boolean markLeaving(String server, Sign sign) {
+    return recordFirstHand(new LeavingMark(server, sign, clocks.millis(), true));
   }
 
   /** Notes a first-hand sign that a server does not leave (any more); true when it is news. */
-  public boolean returned(String server, Sign sign) {
+  public boolean markReturned(String server, Sign sign) {
     LeavingMark known = marks.get(new Key(server, sign));
     return known != null
         && known.leaving()
-        && note(new LeavingMark(server, sign, clocks.millis(), false));
+        && recordFirstHand(new LeavingMark(server, sign, clocks.millis(), false));
   }
 
   /** Takes a mark from a peer; true when it changes what is known. */
@@ -93,19 +93,19 @@
     marks.values().removeIf(this::expired);
     List<LeavingMark> recent = new ArrayList<>(marks.values());
     recent.sort(Comparator.comparingLong(LeavingMark::atMillis).reversed());
-    return recent.subList(0, Math.min(MAX_SPREAD, recent.size()));
+    return recent.subList(0, Math.min(MAX_MARKS_PER_MESSAGE, recent.size()));
   }
 
-  private boolean note(LeavingMark mark) {
+  private boolean recordFirstHand(LeavingMark mark) {
     LeavingMark known = marks.get(new Key(mark.server(), mark.sign()));
     boolean fresh =
         known != null
             && known.leaving() == mark.leaving()
-            && mark.atMillis() - known.atMillis() < RENEW_MILLIS;
+            && mark.atMillis() - known.atMillis() < RENEWAL_MILLIS;
     return !fresh && merge(mark);
   }
 
   private boolean expired(LeavingMark mark) {
-    return clocks.millis() - mark.atMillis() >= MARK_MILLIS;
+    return clocks.millis() - mark.atMillis() >= MARK_LIFETIME_MILLIS;
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/Membership.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Membership.java
@@ -23,13 +23,13 @@
  */
 public final class Membership {
   /** Silence after which a member counts as gone, before the term for the number of members. */
-  private static final long BASE_SILENCE_MILLIS = 8_000;
+  private static final long BASE_TIMEOUT_MILLIS = 8_000;
 
   /** Each member more makes news of any one of them rarer, as samples are of fixed size. */
-  private static final long SILENCE_PER_MEMBER_MILLIS = 400;
+  private static final long TIMEOUT_PER_MEMBER_MILLIS = 400;
 
   /** How long a departed incarnation is remembered, so that old news cannot bring it back. */
-  private static final long REMEMBER_NANOS = TimeUnit.MINUTES.toNanos(30);
+  private static final long DEPARTED_RETENTION_NANOS = TimeUnit.MINUTES.toNanos(30);
 
   /** What a change in the view was. */
   public enum Change {
@@ -38,11 +38,11 @@
     LEFT
   }
 
-  private record Known(Member member, long heardNanos, long changedNanos) {}
+  private record Entry(Member member, long receivedNanos, long changedNanos) {}
 
   private final Clocks clocks;
   private final Member self;
-  private final Map<String, Known> known = new ConcurrentHashMap<>();
+  private final Map<String, Entry> entries = new ConcurrentHashMap<>();
   private volatile boolean leaving;
 
   public Membership(Member self, Clocks clocks) {
@@ -71,11 +71,11 @@
       return Change.NONE;
     }
     long now = clocks.nanos();
-    Known[] replaced = new Known[1];
-    Known result =
-        known.merge(
+    Entry[] replaced = new Entry[1];
+    Entry result =
+        entries.merge(
             news.incarnation(),
-            new Known(news, now, now),
+            new Entry(news, now, now),
             (before, fresh) -> {
               replaced[0] = before;
               return newer(before, fresh);
@@ -92,10 +92,10 @@
   /** Members that serve as far as this instance knows, itself left out. */
   public List<Member> livePeers() {
     long now = clocks.nanos();
-    long silence = silenceNanos();
+    long silence = timeoutNanos();
     List<Member> live = new ArrayList<>();
-    for (Known entry : known.values()) {
-      if (entry.member().state() == MemberState.SERVING && now - entry.heardNanos() < silence) {
+    for (Entry entry : entries.values()) {
+      if (entry.member().state() == MemberState.SERVING && now - entry.receivedNanos() < silence) {
         live.add(entry.member());
       }
     }
@@ -109,8 +109,8 @@
 
   /** The live member of an incarnation. */
   public Optional<Member> live(String incarnation) {
-    Known entry = known.get(incarnation);
-    if (entry == null || clocks.nanos() - entry.heardNanos() >= silenceNanos()) {
+    Entry entry = entries.get(incarnation);
+    if (entry == null || clocks.nanos() - entry.receivedNanos() >= timeoutNanos()) {
       return Optional.empty();
     }
     return Optional.of(entry.member());
@@ -118,20 +118,20 @@
 
   /** A bounded sample for gossip: this instance, the latest changes, then random members. */
   public List<Member> sample(int size, RandomGenerator random) {
-    List<Known> all = new ArrayList<>(known.values());
+    List<Entry> all = new ArrayList<>(entries.values());
     long now = clocks.nanos();
-    long silence = silenceNanos();
-    all.removeIf(entry -> now - entry.heardNanos() >= silence);
-    all.sort(Comparator.comparingLong((Known entry) -> now - entry.changedNanos()));
+    long silence = timeoutNanos();
+    all.removeIf(entry -> now - entry.receivedNanos() >= silence);
+    all.sort(Comparator.comparingLong((Entry entry) -> now - entry.changedNanos()));
     List<Member> sample = new ArrayList<>();
     sample.add(self());
     int newest = Math.min(all.size(), size / 2);
-    for (Known entry : all.subList(0, newest)) {
+    for (Entry entry : all.subList(0, newest)) {
       sample.add(entry.member());
     }
-    List<Known> rest = new ArrayList<>(all.subList(newest, all.size()));
+    List<Entry> rest = new ArrayList<>(all.subList(newest, all.size()));
     Collections.shuffle(rest, java.util.Random.from(random));
-    for (Known entry : rest.subList(0, Math.min(rest.size(), size - newest))) {
+    for (Entry entry : rest.subList(0, Math.min(rest.size(), size - newest))) {
       sample.add(entry.member());
     }
     return sample;
@@ -164,15 +164,15 @@
   /** Forgets members that have been silent for long. */
   public void expire() {
     long now = clocks.nanos();
-    known.values().removeIf(entry -> now - entry.heardNanos() > REMEMBER_NANOS);
+    entries.values().removeIf(entry -> now - entry.receivedNanos() > DEPARTED_RETENTION_NANOS);
   }
 
-  private long silenceNanos() {
-    long millis = BASE_SILENCE_MILLIS + SILENCE_PER_MEMBER_MILLIS * known.size();
+  private long timeoutNanos() {
+    long millis = BASE_TIMEOUT_MILLIS + TIMEOUT_PER_MEMBER_MILLIS * entries.size();
     return TimeUnit.MILLISECONDS.toNanos(millis);
   }
 
-  private static Known newer(Known before, Known fresh) {
+  private static Entry newer(Entry before, Entry fresh) {
     boolean beforeLeft = before.member().state() == MemberState.LEAVING;
     boolean freshLeft = fresh.member().state() == MemberState.LEAVING;
     // Leaving is final for an incarnation: news from before it left cannot undo it.
@@ -185,6 +185,6 @@
     if (fresh.member().heartbeat() <= before.member().heartbeat()) {
       return before;
     }
-    return new Known(fresh.member(), fresh.heardNanos(), before.changedNanos());
+    return new Entry(fresh.member(), fresh.receivedNanos(), before.changedNanos());
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/Prober.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Prober.java
@@ -130,8 +130,8 @@
     handle.load().reported(told, clocks.nanos());
     boolean news =
         told.draining()
-            ? leaving.noticed(handle.id(), LeavingMark.Sign.REPORT)
-            : leaving.returned(handle.id(), LeavingMark.Sign.REPORT);
+            ? leaving.markLeaving(handle.id(), LeavingMark.Sign.REPORT)
+            : leaving.markReturned(handle.id(), LeavingMark.Sign.REPORT);
     if (news) {
       timeline.record(
           EventKind.SERVER_LEAVING,
--- a/core/src/main/java/org/magnoliaswitch/core/request/AttemptRunner.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/AttemptRunner.java
@@ -260,8 +260,8 @@
     private void noteLeaving(boolean draining) {
       boolean news =
           draining
-              ? leaving.noticed(server.id(), LeavingMark.Sign.REPORT)
-              : leaving.returned(server.id(), LeavingMark.Sign.REPORT);
+              ? leaving.markLeaving(server.id(), LeavingMark.Sign.REPORT)
+              : leaving.markReturned(server.id(), LeavingMark.Sign.REPORT);
       if (news) {
         event(EventKind.SERVER_LEAVING, "sign=report leaving=" + draining);
         leavingNews.run();
--- a/core/src/test/java/org/magnoliaswitch/core/operator/SpreadTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/operator/SpreadTest.java
@@ -95,7 +95,7 @@
     start(4);
     platform.down(true);
     await(() -> instances.stream().allMatch(i -> i.state().membership().size() == 4));
-    instances.getFirst().state().leaving().noticed("server-1", LeavingMark.Sign.OPERATOR);
+    instances.getFirst().state().leaving().markLeaving("server-1", LeavingMark.Sign.OPERATOR);
     instances.getFirst().gossip().pushUpdate();
     await(() -> instances.stream().allMatch(i -> i.state().leaving().leaving("server-1")));
   }
--- a/core/src/test/java/org/magnoliaswitch/core/process/LeavingServersTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/LeavingServersTest.java
@@ -24,8 +24,8 @@
 
   @Test
   public void theFirstSignIsNews() {
-    assertTrue(leaving.noticed("a", Sign.REPORT));
-    assertFalse(leaving.noticed("a", Sign.REPORT));
+    assertTrue(leaving.markLeaving("a", Sign.REPORT));
+    assertFalse(leaving.markLeaving("a", Sign.REPORT));
   }
 
   /**
@@ -48,17 +48,17 @@
    */
   @Test
   public void aServerThatComesBackGetsWorkAgain() {
-    leaving.noticed("c", Sign.REPORT);
+    leaving.markLeaving("c", Sign.REPORT);
     time.advance(Duration.ofSeconds(1));
-    assertTrue(leaving.returned("c", Sign.REPORT));
+    assertTrue(leaving.markReturned("c", Sign.REPORT));
     assertFalse(leaving.leaving("c"));
   }
 
   @Test
   public void theServersOwnWordDoesNotUndoTheList() {
-    leaving.noticed("d", Sign.LIST);
+    leaving.markLeaving("d", Sign.LIST);
     time.advance(Duration.ofSeconds(1));
-    leaving.returned("d", Sign.REPORT);
+    leaving.markReturned("d", Sign.REPORT);
     assertTrue(leaving.leaving("d"));
   }
 
@@ -73,7 +73,7 @@
   @Test
   public void spreadsABoundedNumberOfMarks() {
     for (int i = 0; i < 100; i++) {
-      leaving.noticed("server-" + i, Sign.LIST);
+      leaving.markLeaving("server-" + i, Sign.LIST);
     }
     assertEquals(leaving.recent().size(), 12);
   }
--- a/entry/src/main/java/org/magnoliaswitch/entry/OperatorResource.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/OperatorResource.java
@@ -83,7 +83,7 @@
   @POST
   @Path("servers/{id}/leaving")
   public Response leaving(@PathParam("id") String id) {
-    if (control.state().leaving().noticed(id, LeavingMark.Sign.OPERATOR)) {
+    if (control.state().leaving().markLeaving(id, LeavingMark.Sign.OPERATOR)) {
       control.state().timeline().record(EventKind.SERVER_LEAVING, "", "", id, "sign=operator");
       control.gossip().pushUpdate();
     }
