--- a/core/src/main/java/org/magnoliaswitch/core/process/ControlPlane.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ControlPlane.java
@@ -122,7 +122,7 @@
     scheduleRepeatedly(this::pollStore, gossip::nextStorePollMillis);
     scheduleRepeatedly(this::maintain, () -> MAINTENANCE_MILLIS);
     scheduleRepeatedly(this::record, () -> OUTCOME_FLUSH_MILLIS);
-    scheduleRepeatedly(prober::probeDue, () -> PROBE_TICK_MILLIS);
+    scheduleRepeatedly(prober::probeDueServers, () -> PROBE_TICK_MILLIS);
   }
 
   /**
--- a/core/src/main/java/org/magnoliaswitch/core/process/Pause.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Pause.java
@@ -6,17 +6,17 @@
  * @param untilNanos monotonic end
  * @param asked whether it has ever asked for one
  */
-public record Pause(long untilNanos, boolean asked) {
+public record Pause(long untilNanos, boolean requested) {
   /** Never asked for. */
   public static final Pause NONE = new Pause(0, false);
 
   /** Whether the pause is in force. */
   public boolean active(long nowNanos) {
-    return asked && untilNanos - nowNanos > 0;
+    return requested && untilNanos - nowNanos > 0;
   }
 
   /** This pause, or one that begins now if that ends later. */
-  public Pause orUntil(long nextUntilNanos) {
-    return !asked || nextUntilNanos - untilNanos > 0 ? new Pause(nextUntilNanos, true) : this;
+  public Pause extendedTo(long nextUntilNanos) {
+    return !requested || nextUntilNanos - untilNanos > 0 ? new Pause(nextUntilNanos, true) : this;
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/Prober.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Prober.java
@@ -30,15 +30,15 @@
   private static final int TIMEOUT_MILLIS = 200;
 
   /** A server heard of within this time needs no probe. */
-  private static final long QUIET_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  private static final long RECENT_CONTACT_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   private final ServiceRegistry registry;
   private final Membership membership;
   private final LeavingServers leaving;
   private final Timeline timeline;
   private final Clocks clocks;
-  private final Runnable leavingNews;
-  private final AtomicLong sent = new AtomicLong();
+  private final Runnable onLeavingChange;
+  private final AtomicLong probesSent = new AtomicLong();
 
   public Prober(
       ServiceRegistry registry, ControlState control, Clocks clocks, Runnable leavingNews) {
@@ -47,11 +47,11 @@
     this.leaving = control.leaving();
     this.timeline = control.timeline();
     this.clocks = clocks;
-    this.leavingNews = leavingNews;
+    this.onLeavingChange = leavingNews;
   }
 
   /** Probes the servers that are due; called many times a second. */
-  public void probeDue() {
+  public void probeDueServers() {
     int instances = membership.size();
     Collection<ServiceState> services = registry.state().services().values();
     for (ServiceState service : services) {
@@ -59,7 +59,7 @@
       long window = windowNanos(budget, instances);
       for (ServerHandle handle : service.servers()) {
         long now = clocks.nanos();
-        if (wanted(handle, now, window) && handle.load().claimProbe(now, window)) {
+        if (needsProbe(handle, now, window) && handle.load().tryClaimProbe(now, window)) {
           Thread.ofVirtual().name("probe").start(() -> probe(service, handle));
         }
       }
@@ -67,8 +67,8 @@
   }
 
   /** Probes sent so far. */
-  public long sent() {
-    return sent.get();
+  public long probesSent() {
+    return probesSent.get();
   }
 
   /** Least time between two probes of one server by this instance. */
@@ -78,9 +78,9 @@
   }
 
   /** A server that is full or has asked for a pause gets no probe: that would take capacity. */
-  private static boolean wanted(ServerHandle handle, long now, long window) {
+  private static boolean needsProbe(ServerHandle handle, long now, long window) {
     ServerLoad load = handle.load();
-    boolean quiet = now - load.lastHeardNanos() > Math.min(QUIET_NANOS, window);
+    boolean quiet = now - load.lastContactNanos() > Math.min(RECENT_CONTACT_NANOS, window);
     LoadReport last = load.lastReport().report();
     boolean full = load.inFlight() > 0 && last.requests() >= last.slots();
     return handle.server().state() == ServerState.ACTIVE
@@ -90,7 +90,7 @@
   }
 
   private void probe(ServiceState service, ServerHandle handle) {
-    sent.incrementAndGet();
+    probesSent.incrementAndGet();
     try {
       BackendConnection connection = handle.pool().take(Long.MAX_VALUE, TIMEOUT_MILLIS);
       boolean whole = false;
@@ -127,7 +127,7 @@
   }
 
   private void take(ServiceState service, ServerHandle handle, LoadReport told) {
-    handle.load().reported(told, clocks.nanos());
+    handle.load().recordReport(told, clocks.nanos());
     boolean news =
         told.draining()
             ? leaving.markLeaving(handle.id(), LeavingMark.Sign.REPORT)
@@ -139,7 +139,7 @@
           service.service().name(),
           handle.id(),
           "sign=probe leaving=" + told.draining());
-      leavingNews.run();
+      onLeavingChange.run();
     }
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/RetryBudget.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/RetryBudget.java
@@ -21,7 +21,7 @@
   }
 
   /** Takes one token, if there is one. */
-  public boolean spend() {
+  public boolean trySpend() {
     long before = tokens.get();
     while (before >= TOKEN) {
       if (tokens.compareAndSet(before, before - TOKEN)) {
--- a/core/src/main/java/org/magnoliaswitch/core/process/ServerLoad.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ServerLoad.java
@@ -40,7 +40,7 @@
   private final AtomicInteger inFlight = new AtomicInteger();
   private final AtomicReference<TimedReport> lastReport;
   private final AtomicReference<Averages> averages = new AtomicReference<>(new Averages(0, 0, 0));
-  private final AtomicLong lastHeardNanos;
+  private final AtomicLong lastContactNanos;
   private final AtomicLong lastProbeNanos = new AtomicLong(Long.MIN_VALUE);
   private final AtomicReference<Ejection> ejection = new AtomicReference<>(Ejection.NONE);
   private final AtomicReference<Pause> pause = new AtomicReference<>(Pause.NONE);
@@ -51,37 +51,39 @@
     this.lastReport =
         new AtomicReference<>(
             new TimedReport(new LoadReport(0, server.slots(), false), nowNanos, 0));
-    this.lastHeardNanos = new AtomicLong(nowNanos);
+    this.lastContactNanos = new AtomicLong(nowNanos);
   }
 
   /** Counts a request that is about to be sent. */
-  public void sent() {
+  public void requestStarted() {
     inFlight.incrementAndGet();
   }
 
   /** Counts the end of a request whose answer was whole. */
-  public void answered(long latencyNanos, long nowNanos) {
+  public void recordSuccess(long latencyNanos, long nowNanos) {
     inFlight.decrementAndGet();
-    lastHeardNanos.set(nowNanos);
+    lastContactNanos.set(nowNanos);
     averages.updateAndGet(before -> withSample(before, latencyNanos / NANOS_PER_MILLI));
   }
 
   /** Counts the end of a request that failed or was refused. */
-  public void failed() {
+  public void recordFailure() {
     inFlight.decrementAndGet();
     averages.updateAndGet(
         before ->
             new Averages(
-                before.latencyMillis(), mix(before.failureShare(), 1), before.samples() + 1));
+                before.latencyMillis(),
+                movingAverage(before.failureShare(), 1),
+                before.samples() + 1));
   }
 
   /** Counts the end of a request that was given up without fault of the server. */
-  public void abandoned() {
+  public void recordAbandoned() {
     inFlight.decrementAndGet();
   }
 
   /** Notes that a request takes longer than the average, before it has ended. */
-  public void slow(long elapsedNanos) {
+  public void recordSlow(long elapsedNanos) {
     double elapsedMillis = elapsedNanos / NANOS_PER_MILLI;
     averages.updateAndGet(
         before ->
@@ -89,13 +91,13 @@
   }
 
   /** Takes a report that rode on a response or answered a probe. */
-  public void reported(LoadReport report, long nowNanos) {
+  public void recordReport(LoadReport report, long nowNanos) {
     lastReport.set(new TimedReport(report, nowNanos, inFlight.get()));
-    lastHeardNanos.set(nowNanos);
+    lastContactNanos.set(nowNanos);
   }
 
   /** Reserves the right to send one probe when none was sent within the window. */
-  public boolean claimProbe(long nowNanos, long windowNanos) {
+  public boolean tryClaimProbe(long nowNanos, long windowNanos) {
     long before = lastProbeNanos.get();
     boolean due = before == Long.MIN_VALUE || nowNanos - before >= windowNanos;
     return due && lastProbeNanos.compareAndSet(before, nowNanos);
@@ -112,8 +114,8 @@
   }
 
   /** The server asks for a pause; the one that ends last counts. */
-  public void pause(long forNanos, long nowNanos) {
-    pause.updateAndGet(before -> before.orUntil(nowNanos + forNanos));
+  public void extendPause(long forNanos, long nowNanos) {
+    pause.updateAndGet(before -> before.extendedTo(nowNanos + forNanos));
   }
 
   /** The pause in force or last in force. */
@@ -137,13 +139,13 @@
   }
 
   /** Forgets failures, so that a restored server is judged by what it does next. */
-  public void forgive() {
+  public void resetFailures() {
     averages.updateAndGet(before -> new Averages(before.latencyMillis(), 0, 0));
   }
 
   /** When the server was last heard of. */
-  public long lastHeardNanos() {
-    return lastHeardNanos.get();
+  public long lastContactNanos() {
+    return lastContactNanos.get();
   }
 
   /** When this instance first knew the server. */
@@ -157,16 +159,16 @@
   }
 
   private static Averages withSample(Averages before, double millis) {
-    double latency = before.samples() == 0 ? millis : mix(before.latencyMillis(), millis);
-    return new Averages(latency, mix(before.failureShare(), 0), before.samples() + 1);
+    double latency = before.samples() == 0 ? millis : movingAverage(before.latencyMillis(), millis);
+    return new Averages(latency, movingAverage(before.failureShare(), 0), before.samples() + 1);
   }
 
   private static Averages withLatency(Averages before, double millis) {
     return new Averages(
-        mix(before.latencyMillis(), millis), before.failureShare(), before.samples());
+        movingAverage(before.latencyMillis(), millis), before.failureShare(), before.samples());
   }
 
-  private static double mix(double average, double sample) {
+  private static double movingAverage(double average, double sample) {
     return average + SAMPLE_WEIGHT * (sample - average);
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/ServerShare.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ServerShare.java
@@ -20,7 +20,7 @@
   private static final double REPLACEMENT_FACTOR = 2.0;
 
   /** A choice among fewer servers than this loses most of its worth. */
-  private static final int MIN_SERVERS = 8;
+  private static final int MIN_SHARE_SIZE = 8;
 
   private ServerShare() {}
 
@@ -31,7 +31,7 @@
       return servers;
     }
     List<BackendServer> ring = new ArrayList<>(servers);
-    ring.sort(Comparator.comparing(server -> spread(server.id())));
+    ring.sort(Comparator.comparing(server -> ringPosition(server.id())));
     int start = (int) ((long) rank.index() * ring.size() / rank.size());
     List<BackendServer> share = new ArrayList<>();
     for (int i = 0; i < wanted; i++) {
@@ -52,11 +52,11 @@
         servers.stream().mapToInt(BackendServer::connections).min().orElse(MIN_CONNECTIONS);
     double users = connections / (REPLACEMENT_FACTOR * MIN_CONNECTIONS);
     int wanted = (int) Math.ceil(total * users / Math.max(1, instances));
-    return Math.min(total, Math.max(MIN_SERVERS, wanted));
+    return Math.min(total, Math.max(MIN_SHARE_SIZE, wanted));
   }
 
   /** Mixes data centres and racks, which often number their servers in sequence. */
-  private static long spread(String id) {
+  private static long ringPosition(String id) {
     return com.google.common.hash.Hashing.murmur3_128()
         .hashString(id, java.nio.charset.StandardCharsets.UTF_8)
         .asLong();
--- a/core/src/main/java/org/magnoliaswitch/core/process/ServiceAdmission.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ServiceAdmission.java
@@ -29,11 +29,11 @@
   private static final double DECREASE = 0.03;
 
   /** Share of the window up to which attempts that need not be are made. */
-  private static final double SPARE_SHARE = 0.75;
+  private static final double SPARE_WINDOW_SHARE = 0.75;
 
   private static final double MIN_WINDOW = 1.0;
-  private static final double RATE_WEIGHT = 0.05;
-  private static final long TICK_NANOS = 1_000_000L;
+  private static final double GRANT_INTERVAL_WEIGHT = 0.05;
+  private static final long PARK_MARGIN_NANOS = 1_000_000L;
 
   /** What came of asking for room. */
   public enum Verdict {
@@ -92,7 +92,7 @@
   }
 
   /** Largest window that makes sense: all slots of all servers, each with its wanted load. */
-  public void maxWindow(double most) {
+  public void limitWindow(double most) {
     maxWindow.set(Math.max(MIN_WINDOW, most));
   }
 
@@ -103,7 +103,7 @@
    * @param latestNanos monotonic time after which sending is of no use
    */
   public Verdict admit(RequestKind kind, long latestNanos) {
-    if (waiting.get() == 0 && takeRoom()) {
+    if (waiting.get() == 0 && tryAcquire()) {
       return Verdict.ADMITTED;
     }
     if (policy.maxQueue() == 0 || waiting.get() >= policy.maxQueue()) {
@@ -121,23 +121,23 @@
   private Verdict await(KindQueue queue, long latest) {
     Waiter waiter = new Waiter();
     if (queue.length.getAndIncrement() == 0) {
-      catchUp(queue);
+      advancePass(queue);
     }
     waiting.incrementAndGet();
     queue.waiters.add(waiter);
     // Room may have been freed between the first look and the enqueueing.
-    grantFreeRoom();
+    grantFreeCapacity();
     while (waiter.state.get() == WaiterState.WAITING) {
       long left = latest - clocks.nanos();
       if (left <= 0) {
         if (waiter.state.compareAndSet(WaiterState.WAITING, WaiterState.GIVEN_UP)) {
-          left(queue);
+          removeFromCount(queue);
           queue.waiters.remove(waiter);
           return Verdict.TOO_LATE;
         }
         break;
       }
-      LockSupport.parkNanos(this, left + TICK_NANOS);
+      LockSupport.parkNanos(this, left + PARK_MARGIN_NANOS);
     }
     return Verdict.ADMITTED;
   }
@@ -148,18 +148,20 @@
    * <p>Hedges add load. Near saturation they would take the room that first attempts wait for, and
    * lengthen the very queues they are meant to pass by.
    */
-  public boolean takeSpareRoom() {
-    return waiting.get() == 0 && inFlight.get() + 1 <= SPARE_SHARE * window.get() && takeRoom();
+  public boolean tryAcquireSpare() {
+    return waiting.get() == 0
+        && inFlight.get() + 1 <= SPARE_WINDOW_SHARE * window.get()
+        && tryAcquire();
   }
 
   /** Gives back the room of an admitted request. */
   public void release() {
     inFlight.decrementAndGet();
-    grantFreeRoom();
+    grantFreeCapacity();
   }
 
   /** Adapts the window to the load that a server reported. */
-  public void reported(LoadReport report) {
+  public void recordReport(LoadReport report) {
     double load = (double) report.requests() / report.slots();
     double wanted = policy.loadPerSlot();
     if (load > wanted) {
@@ -171,7 +173,7 @@
   }
 
   /** Adapts the window to a refusal by a server that is too busy. */
-  public void refused() {
+  public void recordRejection() {
     window.updateAndGet(w -> Math.max(MIN_WINDOW, w * (1 - DECREASE)));
   }
 
@@ -196,7 +198,7 @@
     return (int) Math.max(1, Math.ceil(seconds));
   }
 
-  private boolean takeRoom() {
+  private boolean tryAcquire() {
     int before = inFlight.get();
     while (before + 1 <= window.get()) {
       if (inFlight.compareAndSet(before, before + 1)) {
@@ -207,8 +209,8 @@
     return false;
   }
 
-  private void grantFreeRoom() {
-    while (waiting.get() > 0 && takeRoom()) {
+  private void grantFreeCapacity() {
+    while (waiting.get() > 0 && tryAcquire()) {
       if (!grantOne()) {
         inFlight.decrementAndGet();
         return;
@@ -224,10 +226,10 @@
         return false;
       }
       if (waiter.state.compareAndSet(WaiterState.WAITING, WaiterState.ADMITTED)) {
-        left(queue);
+        removeFromCount(queue);
         double stride = 1 / queue.weight;
         queue.pass.updateAndGet(pass -> pass + stride);
-        noteGrant();
+        recordGrant();
         LockSupport.unpark(waiter.thread);
         return true;
       }
@@ -247,13 +249,13 @@
     return best;
   }
 
-  private void left(KindQueue queue) {
+  private void removeFromCount(KindQueue queue) {
     queue.length.decrementAndGet();
     waiting.decrementAndGet();
   }
 
   /** A queue that was empty has saved no claim on room for the time it was. */
-  private void catchUp(KindQueue queue) {
+  private void advancePass(KindQueue queue) {
     double least = Double.MAX_VALUE;
     for (int i = 0; i < queues.length(); i++) {
       KindQueue other = queues.get(i);
@@ -279,11 +281,11 @@
     return ahead * grantIntervalNanos.get();
   }
 
-  private void noteGrant() {
+  private void recordGrant() {
     long now = clocks.nanos();
     long interval = now - lastGrantNanos.getAndSet(now);
     if (interval < MAX_WAIT_NANOS) {
-      grantIntervalNanos.updateAndGet(mean -> mean + RATE_WEIGHT * (interval - mean));
+      grantIntervalNanos.updateAndGet(mean -> mean + GRANT_INTERVAL_WEIGHT * (interval - mean));
     }
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/ServiceRegistry.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ServiceRegistry.java
@@ -133,7 +133,7 @@
             ? old.get().admission()
             : new ServiceAdmission(
                 profile.admission(), profile.kinds(), most / Math.max(1, rank.size()), clocks);
-    admission.maxWindow(most);
+    admission.limitWindow(most);
     return admission;
   }
 
--- a/core/src/main/java/org/magnoliaswitch/core/process/ServiceState.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ServiceState.java
@@ -34,7 +34,7 @@
    * @param budgets retry budgets by caller group
    */
   public record Counters(
-      LatencyWindow latency, AtomicInteger turn, Map<String, RetryBudget> budgets) {
+      LatencyWindow latency, AtomicInteger roundRobin, Map<String, RetryBudget> budgets) {
     /** Groups beyond this share one budget, so that callers cannot make state grow. */
     private static final int MAX_GROUPS = 64;
 
--- a/core/src/main/java/org/magnoliaswitch/core/request/AttemptRunner.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/AttemptRunner.java
@@ -98,7 +98,7 @@
      */
     public AttemptResult run(long slowAfterNanos, SlowListener listener) {
       long started = clocks.nanos();
-      server.load().sent();
+      server.load().requestStarted();
       event(EventKind.ATTEMPT_SENT, "attempt=" + number);
       AttemptResult result = exchangeAll(slowAfterNanos, listener);
       learn(result, started);
@@ -173,8 +173,8 @@
       Optional<LoadReport> report = LoadReport.parse(header.getValue());
       report.ifPresent(
           told -> {
-            server.load().reported(told, clocks.nanos());
-            request.service().admission().reported(told);
+            server.load().recordReport(told, clocks.nanos());
+            request.service().admission().recordReport(told);
             noteLeaving(told.draining());
           });
     }
@@ -183,7 +183,7 @@
       var header = head.response().getFirstHeader(RetryAfterHeader.NAME);
       OptionalLong nanos = RetryAfterHeader.nanos(header == null ? null : header.getValue());
       if (nanos.isPresent()) {
-        server.load().pause(nanos.getAsLong(), clocks.nanos());
+        server.load().extendPause(nanos.getAsLong(), clocks.nanos());
         event(EventKind.SERVER_PAUSED, "ms=" + TimeUnit.NANOSECONDS.toMillis(nanos.getAsLong()));
       }
     }
@@ -192,25 +192,25 @@
       long now = clocks.nanos();
       switch (result) {
         case AttemptResult.Answered answered -> {
-          server.load().answered(now - started, now);
+          server.load().recordSuccess(now - started, now);
           crashes.recordAnswer(ANY_INCARNATION, started);
           request.service().counters().latency().add(now - started);
         }
         case AttemptResult.Refused refused -> {
-          server.load().failed();
-          request.service().admission().refused();
+          server.load().recordFailure();
+          request.service().admission().recordRejection();
           ejectIfNeeded(now);
         }
         case AttemptResult.NotSent notSent -> {
-          server.load().failed();
+          server.load().recordFailure();
           ejectIfNeeded(now);
         }
         case AttemptResult.Broken broken -> {
           failedOrCancelled(now, started);
         }
         case AttemptResult.TimedOut timedOut -> {
-          server.load().slow(now - started);
-          server.load().abandoned();
+          server.load().recordSlow(now - started);
+          server.load().recordAbandoned();
           suspectSilence(started);
         }
       }
@@ -219,10 +219,10 @@
     private void failedOrCancelled(long now, long started) {
       if (exchange.wasCancelled()) {
         // The other attempt won. How long this one took is a first-hand sign of a slow server.
-        server.load().slow(now - started);
-        server.load().abandoned();
+        server.load().recordSlow(now - started);
+        server.load().recordAbandoned();
       } else {
-        server.load().failed();
+        server.load().recordFailure();
         ejectIfNeeded(now);
         lookWhetherEnded();
       }
@@ -252,7 +252,7 @@
           .ifPresent(
               ejection -> {
                 server.load().eject(ejection);
-                server.load().forgive();
+                server.load().resetFailures();
                 event(EventKind.SERVER_EJECTED, "count=" + ejection.count());
               });
     }
--- a/core/src/main/java/org/magnoliaswitch/core/request/Dispatcher.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/Dispatcher.java
@@ -150,7 +150,7 @@
     Set<String> tried = new HashSet<>();
     AttemptResult last = new AttemptResult.NotSent("no server can take it");
     for (int number = 1; number <= policy.maxAttempts(); number++) {
-      if (number > 1 && !(mayRepeat(request, last, outerRetry, crashes) && budget.spend())) {
+      if (number > 1 && !(mayRepeat(request, last, outerRetry, crashes) && budget.trySpend())) {
         break;
       }
       Optional<ServerHandle> server = choose(service, tried);
@@ -247,14 +247,14 @@
       RequestCrashes crashes) {
     Optional<ServerHandle> other = choose(request.service(), tried);
     ServiceAdmission admission = request.service().admission();
-    if (other.isEmpty() || !admission.takeSpareRoom()) {
+    if (other.isEmpty() || !admission.tryAcquireSpare()) {
       return null;
     }
-    if (!budget.spend()) {
+    if (!budget.trySpend()) {
       admission.release();
       return null;
     }
-    first.server().load().slow(hedgeDelay(request, request.service().profile().retry()));
+    first.server().load().recordSlow(hedgeDelay(request, request.service().profile().retry()));
     tried.add(other.get().id());
     AttemptRunner.Attempt attempt = runner.prepare(request, other.get(), number + 1, crashes);
     CompletableFuture<AttemptResult> future = new CompletableFuture<>();
@@ -320,7 +320,7 @@
         service.profile().routing(),
         eligible,
         localDataCentre,
-        service.counters().turn(),
+        service.counters().roundRobin(),
         now,
         random.get());
   }
--- a/core/src/test/java/org/magnoliaswitch/core/process/EjectionPolicyTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/EjectionPolicyTest.java
@@ -73,15 +73,15 @@
 
   private static void fail(ServerHandle server, int times) {
     for (int i = 0; i < times; i++) {
-      server.load().sent();
-      server.load().failed();
+      server.load().requestStarted();
+      server.load().recordFailure();
     }
   }
 
   private void answer(ServerHandle server, int times) {
     for (int i = 0; i < times; i++) {
-      server.load().sent();
-      server.load().answered(1_000_000, time.read());
+      server.load().requestStarted();
+      server.load().recordSuccess(1_000_000, time.read());
     }
   }
 
--- a/core/src/test/java/org/magnoliaswitch/core/process/PauseTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/PauseTest.java
@@ -10,7 +10,7 @@
 public final class PauseTest {
   @Test
   public void isActiveUntilItsEnd() {
-    Pause pause = Pause.NONE.orUntil(100);
+    Pause pause = Pause.NONE.extendedTo(100);
     assertTrue(pause.active(99));
     assertFalse(pause.active(100));
   }
@@ -19,14 +19,14 @@
   @Test
   public void noneIsNeverActive() {
     assertFalse(Pause.NONE.active(-100));
-    assertTrue(Pause.NONE.orUntil(-50).active(-100));
+    assertTrue(Pause.NONE.extendedTo(-50).active(-100));
   }
 
   /** Guards against a pause that a later and shorter one cuts short. */
   @Test
   public void theOneThatEndsLastCounts() {
-    Pause pause = Pause.NONE.orUntil(100);
-    assertEquals(pause.orUntil(90), pause);
-    assertEquals(pause.orUntil(110), new Pause(110, true));
+    Pause pause = Pause.NONE.extendedTo(100);
+    assertEquals(pause.extendedTo(90), pause);
+    assertEquals(pause.extendedTo(110), new Pause(110, true));
   }
 }
--- a/core/src/test/java/org/magnoliaswitch/core/process/ProberTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/ProberTest.java
@@ -40,7 +40,7 @@
     for (int step = 0; step < 4_000; step++) {
       time.advance(Duration.ofMillis(random.nextInt(20)));
       ServerLoad load = loads.get(random.nextInt(alive));
-      if (load.claimProbe(time.read(), Prober.windowNanos(budget, known))) {
+      if (load.tryClaimProbe(time.read(), Prober.windowNanos(budget, known))) {
         probes.add(time.read());
       }
     }
--- a/core/src/test/java/org/magnoliaswitch/core/process/ServiceAdmissionTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/ServiceAdmissionTest.java
@@ -27,7 +27,7 @@
   public void shrinksWhenServersReportTooMuchLoad() {
     ServiceAdmission admission = admission(10, 0);
     for (int i = 0; i < 100; i++) {
-      admission.reported(new LoadReport(18, 6, false));
+      admission.recordReport(new LoadReport(18, 6, false));
     }
     assertTrue(admission.window() < 2, "window " + admission.window());
   }
@@ -36,7 +36,7 @@
   public void growsOnlyWhileItIsUsed() {
     ServiceAdmission admission = admission(10, 0);
     for (int i = 0; i < 50; i++) {
-      admission.reported(new LoadReport(0, 6, false));
+      admission.recordReport(new LoadReport(0, 6, false));
     }
     assertEquals(admission.window(), 10.0);
   }
@@ -53,10 +53,10 @@
   @Test
   public void givesNoSpareRoomNearTheWindow() {
     ServiceAdmission admission = admission(4, 10);
-    assertTrue(admission.takeSpareRoom());
+    assertTrue(admission.tryAcquireSpare());
     admit(admission);
-    assertTrue(admission.takeSpareRoom());
-    assertEquals(admission.takeSpareRoom(), false);
+    assertTrue(admission.tryAcquireSpare());
+    assertEquals(admission.tryAcquireSpare(), false);
   }
 
   /** A waiter is woken by the release of another request, not by a poll. */
--- a/core/src/test/java/org/magnoliaswitch/core/request/ServerChooserTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/request/ServerChooserTest.java
@@ -45,7 +45,7 @@
   @Test
   public void leastRequestsAvoidsTheBusyOne() {
     List<ServerHandle> servers = servers(2);
-    servers.get(0).load().sent();
+    servers.get(0).load().requestStarted();
     Map<String, Integer> counts = choices(new RoutingPolicy.LeastRequests(), servers);
     assertTrue(counts.get("s0") < CHOICES / 3, counts.toString());
   }
@@ -53,7 +53,7 @@
   @Test
   public void aFullServerIsAvoided() {
     List<ServerHandle> servers = settled(4);
-    servers.get(1).load().reported(new LoadReport(12, 6, false), time.read());
+    servers.get(1).load().recordReport(new LoadReport(12, 6, false), time.read());
     assertEquals(choices(Declarations.FRESH, servers).getOrDefault("s1", 0), Integer.valueOf(0));
   }
 
@@ -64,10 +64,10 @@
   @Test
   public void aStaleReportLosesItsWeight() {
     List<ServerHandle> servers = settled(5);
-    servers.get(0).load().reported(new LoadReport(0, 6, false), time.read());
+    servers.get(0).load().recordReport(new LoadReport(0, 6, false), time.read());
     time.advance(Duration.ofMillis(500));
     for (ServerHandle other : servers.subList(1, 5)) {
-      other.load().reported(new LoadReport(5, 6, false), time.read());
+      other.load().recordReport(new LoadReport(5, 6, false), time.read());
     }
     double expected =
         ServerChooser.expectedRequests(Declarations.FRESH, servers.get(0).load(), 5.0, time.read());
@@ -77,9 +77,9 @@
   @Test
   public void ownSendsSinceTheReportCount() {
     ServerLoad load = settled(1).get(0).load();
-    load.reported(new LoadReport(2, 6, false), time.read());
-    load.sent();
-    load.sent();
+    load.recordReport(new LoadReport(2, 6, false), time.read());
+    load.requestStarted();
+    load.requestStarted();
     assertEquals(
         ServerChooser.expectedRequests(Declarations.FRESH, load, 2.0, time.read()), 4.0, 0.01);
   }
@@ -88,8 +88,8 @@
   public void aStragglerIsAvoidedThoughItReportsIdle() {
     List<ServerHandle> servers = settled(4);
     for (int i = 0; i < 30; i++) {
-      servers.get(2).load().sent();
-      servers.get(2).load().answered(Duration.ofMillis(200).toNanos(), time.read());
+      servers.get(2).load().requestStarted();
+      servers.get(2).load().recordSuccess(Duration.ofMillis(200).toNanos(), time.read());
     }
     assertEquals(choices(Declarations.FRESH, servers).getOrDefault("s2", 0), Integer.valueOf(0));
   }
@@ -98,8 +98,8 @@
   public void aServerThatOftenFailsIsNotTakenForIdle() {
     List<ServerHandle> servers = settled(3);
     for (int i = 0; i < 10; i++) {
-      servers.get(0).load().sent();
-      servers.get(0).load().failed();
+      servers.get(0).load().requestStarted();
+      servers.get(0).load().recordFailure();
     }
     assertEquals(choices(Declarations.FRESH, servers).getOrDefault("s0", 0), Integer.valueOf(0));
   }
@@ -110,7 +110,7 @@
     servers.add(settle(handle("far", "dc-2")));
     assertEquals(choices(Declarations.FRESH, servers).getOrDefault("far", 0), Integer.valueOf(0));
     for (ServerHandle near : servers.subList(0, 2)) {
-      near.load().reported(new LoadReport(18, 6, false), time.read());
+      near.load().recordReport(new LoadReport(18, 6, false), time.read());
     }
     assertEquals(choices(Declarations.FRESH, servers).get("far"), Integer.valueOf(CHOICES));
   }
@@ -136,10 +136,10 @@
 
   private ServerHandle settle(ServerHandle handle) {
     for (int i = 0; i < 10; i++) {
-      handle.load().sent();
-      handle.load().answered(Duration.ofMillis(10).toNanos(), time.read());
+      handle.load().requestStarted();
+      handle.load().recordSuccess(Duration.ofMillis(10).toNanos(), time.read());
     }
-    handle.load().reported(new LoadReport(2, 6, false), time.read());
+    handle.load().recordReport(new LoadReport(2, 6, false), time.read());
     return handle;
   }
 
--- a/entry/src/main/java/org/magnoliaswitch/entry/EntryMetrics.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/EntryMetrics.java
@@ -60,7 +60,7 @@
         .register(registry);
     Gauge.builder("magnolia.peer.refused", () -> control.traffic().refused().get())
         .register(registry);
-    Gauge.builder("magnolia.probes", () -> control.prober().sent()).register(registry);
+    Gauge.builder("magnolia.probes", () -> control.prober().probesSent()).register(registry);
     Gauge.builder("magnolia.claim.transactions", () -> control.batcher().transactions())
         .register(registry);
     Gauge.builder("magnolia.outcome.segments", () -> control.records().segments())
