--- a/core/src/main/java/org/magnoliaswitch/core/process/ClaimBatcher.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ClaimBatcher.java
@@ -70,7 +70,10 @@
       if (first != null) {
         // The same key twice in one batch: the second learns of the first.
         var unused =
-            first.result().thenAccept(r -> next.result().complete(seenBy(next.claim(), first, r)));
+            first
+                .result()
+                .thenAccept(
+                    r -> next.result().complete(resultForDuplicate(next.claim(), first, r)));
       }
     }
     commit(new ArrayList<>(unique.values()));
@@ -109,12 +112,12 @@
     transactions.incrementAndGet();
     switch (table.transact(writes)) {
       case TransactionResult.Committed committed -> batch.forEach(ClaimBatcher::grant);
-      case TransactionResult.Conflict conflict -> afterConflict(batch, conflict.rows());
-      case TransactionResult.Unknown unknown -> afterLostAnswer(batch);
+      case TransactionResult.Conflict conflict -> resolveConflict(batch, conflict.rows());
+      case TransactionResult.Unknown unknown -> resolveUnknown(batch);
     }
   }
 
-  private void afterConflict(List<Pending> batch, List<Row> rows) {
+  private void resolveConflict(List<Pending> batch, List<Row> rows) {
     Map<String, Row> held = new HashMap<>();
     rows.forEach(row -> held.put(row.key(), row));
     List<Pending> free = new ArrayList<>();
@@ -134,7 +137,7 @@
     }
   }
 
-  private void afterLostAnswer(List<Pending> batch) {
+  private void resolveUnknown(List<Pending> batch) {
     try {
       List<Row> rows = table.read(batch.stream().map(p -> rowKey(p.claim())).toList());
       for (int i = 0; i < batch.size(); i++) {
@@ -147,7 +150,7 @@
     }
   }
 
-  private static ClaimResult seenBy(Claim claim, Pending first, ClaimResult result) {
+  private static ClaimResult resultForDuplicate(Claim claim, Pending first, ClaimResult result) {
     boolean sameHolder = first.claim().incarnation().equals(claim.incarnation());
     if (result.status() != ClaimResult.Status.GRANTED || sameHolder) {
       return result;
--- a/core/src/main/java/org/magnoliaswitch/core/process/ClaimService.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ClaimService.java
@@ -30,14 +30,14 @@
   /** Instances that claim for all; each bounds its transactions by the claim window. */
   private static final int CLAIMING_INSTANCES = 3;
 
-  private static final int TRANSACTIONS_AT_ONCE = 4;
+  private static final int MAX_CONCURRENT_TRANSACTIONS = 4;
 
   private final ClaimBatcher batcher;
   private final Membership membership;
   private final PeerClient peers;
   private final ScheduledExecutorService timer;
   private final AtomicBoolean scheduled = new AtomicBoolean();
-  private final Semaphore transactions = new Semaphore(TRANSACTIONS_AT_ONCE);
+  private final Semaphore transactions = new Semaphore(MAX_CONCURRENT_TRANSACTIONS);
 
   public ClaimService(
       ClaimBatcher batcher,
@@ -55,7 +55,7 @@
     int waitMillis = (int) Math.max(1, TimeUnit.NANOSECONDS.toMillis(waitNanos));
     Member via = claimingInstance(claim.key());
     if (!via.incarnation().equals(membership.self().incarnation())) {
-      ClaimResult remote = claimVia(via, claim, windowMillis, waitMillis / 2);
+      ClaimResult remote = claimThrough(via, claim, windowMillis, waitMillis / 2);
       if (remote.status() != ClaimResult.Status.UNAVAILABLE) {
         return remote;
       }
@@ -75,7 +75,7 @@
     return results.stream().map(result -> await(result, waitMillis)).toList();
   }
 
-  private ClaimResult claimVia(Member via, Claim claim, int windowMillis, int waitMillis) {
+  private ClaimResult claimThrough(Member via, Claim claim, int windowMillis, int waitMillis) {
     try {
       PeerMessage reply =
           peers.call(
--- a/core/src/main/java/org/magnoliaswitch/core/process/ConfigurationFollower.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ConfigurationFollower.java
@@ -52,11 +52,11 @@
     }
     try {
       if (cache.get(manifest).isEmpty()) {
-        keep(source.fetch(List.of(manifest)), List.of(manifest));
+        cacheVerified(source.fetch(List.of(manifest)), List.of(manifest));
       }
       List<String> missing = current.missingParts(manifest);
       if (!missing.isEmpty()) {
-        keep(source.fetch(missing), missing);
+        cacheVerified(source.fetch(missing), missing);
       }
       return current.adopt(manifest);
     } catch (IOException | PlatformException e) {
@@ -65,7 +65,7 @@
     }
   }
 
-  private void keep(Map<String, byte[]> contents, List<String> wanted) throws IOException {
+  private void cacheVerified(Map<String, byte[]> contents, List<String> wanted) throws IOException {
     for (String digest : wanted) {
       byte[] content = contents.get(digest);
       // The digest is checked, so a peer with damaged content cannot pass it on.
--- a/core/src/main/java/org/magnoliaswitch/core/process/ConfigurationStore.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ConfigurationStore.java
@@ -88,7 +88,7 @@
    */
   public Acceptance accept(Manifest manifest, String digest, Map<String, byte[]> contents) {
     try {
-      Optional<Head> earlier = changeOf(manifest.changeId());
+      Optional<Head> earlier = acceptedChange(manifest.changeId());
       if (earlier.isPresent()) {
         return new Acceptance.Accepted(earlier.get(), true);
       }
@@ -118,29 +118,29 @@
                     versionKey(next.version()), 0, value, HISTORY_RETENTION_SECONDS)));
     return switch (result) {
       case TransactionResult.Committed committed -> new Acceptance.Accepted(next, false);
-      case TransactionResult.Conflict conflict -> afterConflict(manifest);
-      case TransactionResult.Unknown unknown -> afterLostAnswer(manifest, unknown);
+      case TransactionResult.Conflict conflict -> resolveConflict(manifest);
+      case TransactionResult.Unknown unknown -> resolveUnknown(manifest, unknown);
     };
   }
 
-  private Acceptance afterConflict(Manifest manifest) throws PlatformException {
+  private Acceptance resolveConflict(Manifest manifest) throws PlatformException {
     // The own earlier try may be the winner, when its answer was lost and its write landed late.
-    Optional<Head> own = changeOf(manifest.changeId());
+    Optional<Head> own = acceptedChange(manifest.changeId());
     return own.isPresent()
         ? new Acceptance.Accepted(own.get(), true)
         : new Acceptance.Raced(head());
   }
 
-  private Acceptance afterLostAnswer(Manifest manifest, TransactionResult.Unknown unknown)
+  private Acceptance resolveUnknown(Manifest manifest, TransactionResult.Unknown unknown)
       throws PlatformException {
-    Optional<Head> own = changeOf(manifest.changeId());
+    Optional<Head> own = acceptedChange(manifest.changeId());
     // Absence proves nothing here: the write may still land. Only presence does.
     return own.isPresent()
         ? new Acceptance.Accepted(own.get(), false)
         : new Acceptance.Undecided(unknown.reason());
   }
 
-  private Optional<Head> changeOf(String changeId) throws PlatformException {
+  private Optional<Head> acceptedChange(String changeId) throws PlatformException {
     Row row = table.read(List.of(CHANGE_PREFIX + changeId)).getFirst();
     return row.version() == 0 ? Optional.empty() : Optional.of(readHead(row));
   }
--- a/core/src/main/java/org/magnoliaswitch/core/process/KeyIssuer.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/KeyIssuer.java
@@ -16,7 +16,7 @@
  */
 public final class KeyIssuer {
   private static final String PREFIX = "mk1";
-  private static final int PARTS = 5;
+  private static final int PART_COUNT = 5;
   private static final int RADIX = 36;
   private static final int SIGNATURE_BYTES = 12;
 
@@ -54,14 +54,14 @@
 
   /** A key that was never issued before. */
   public String issue() {
-    String text = new IssuedKey(incarnation, now(), sequence.incrementAndGet()).text();
+    String text = new IssuedKey(incarnation, monotonicMillis(), sequence.incrementAndGet()).text();
     return text + '.' + signature(text);
   }
 
   /** The content of a key that an instance of this system issued; nothing for any other text. */
   public Optional<IssuedKey> parse(String key) {
     String[] parts = key.split("\\.", -1);
-    if (parts.length != PARTS || !parts[0].equals(PREFIX)) {
+    if (parts.length != PART_COUNT || !parts[0].equals(PREFIX)) {
       return Optional.empty();
     }
     try {
@@ -81,10 +81,10 @@
   public boolean expired(IssuedKey key, long retentionSeconds) {
     // The monotonic clock counts: a wall clock set back would revive a key whose outcome is
     // forgotten.
-    return now() - key.issuedMillis() >= TimeUnit.SECONDS.toMillis(retentionSeconds);
+    return monotonicMillis() - key.issuedMillis() >= TimeUnit.SECONDS.toMillis(retentionSeconds);
   }
 
-  private long now() {
+  private long monotonicMillis() {
     return TimeUnit.NANOSECONDS.toMillis(clocks.nanos() - startNanos);
   }
 
--- a/core/src/main/java/org/magnoliaswitch/core/process/OutcomeLedger.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/OutcomeLedger.java
@@ -131,7 +131,7 @@
   }
 
   /** Takes finished keys that no record holds yet, at most some. */
-  public List<Finished> takeUnrecorded(int limit) {
+  public List<Finished> pollUnrecorded(int limit) {
     List<Finished> taken = new ArrayList<>();
     for (int i = 0; i < limit; i++) {
       Finished next = unrecorded.poll();
@@ -145,7 +145,7 @@
   }
 
   /** Puts back what could not be recorded. */
-  public void putBack(List<Finished> taken) {
+  public void requeue(List<Finished> taken) {
     unrecorded.addAll(taken);
     unrecordedSize.addAndGet(taken.size());
   }
--- a/core/src/main/java/org/magnoliaswitch/core/process/OutcomeRecords.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/OutcomeRecords.java
@@ -26,8 +26,8 @@
 public final class OutcomeRecords {
   private static final int MAX_PER_SEGMENT = 5_000;
   private static final int MAX_CACHED_INCARNATIONS = 64;
-  private static final long REREAD_NANOS = TimeUnit.SECONDS.toNanos(2);
-  private static final String LAST = "last";
+  private static final long REFRESH_NANOS = TimeUnit.SECONDS.toNanos(2);
+  private static final String FINAL_SEGMENT = "last";
 
   /**
    * What the records of an incarnation say of a key.
@@ -37,7 +37,7 @@
    */
   public record Lookup(Optional<OutcomeLedger.Finished> finished, boolean complete) {}
 
-  private static final class Cached {
+  private static final class CachedIncarnation {
     private final Map<String, OutcomeLedger.Finished> byKey = new HashMap<>();
     private int nextSegment;
     private boolean complete;
@@ -48,10 +48,10 @@
   private final Clocks clocks;
   private final String incarnation;
   private final AtomicInteger written = new AtomicInteger();
-  private final Map<String, Cached> cache =
+  private final Map<String, CachedIncarnation> cache =
       new LinkedHashMap<>(16, 0.75f, true) {
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Cached> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<String, CachedIncarnation> eldest) {
           return size() > MAX_CACHED_INCARNATIONS;
         }
       };
@@ -64,7 +64,7 @@
 
   /** Writes what the ledger finished since the last segment; returns how many keys. */
   public synchronized int flush(OutcomeLedger ledger) throws PlatformException {
-    List<OutcomeLedger.Finished> finished = ledger.takeUnrecorded(MAX_PER_SEGMENT);
+    List<OutcomeLedger.Finished> finished = ledger.pollUnrecorded(MAX_PER_SEGMENT);
     if (finished.isEmpty()) {
       return 0;
     }
@@ -73,7 +73,7 @@
       written.incrementAndGet();
       return finished.size();
     } catch (PlatformException e) {
-      ledger.putBack(finished);
+      ledger.requeue(finished);
       throw e;
     }
   }
@@ -84,7 +84,7 @@
     while (flushed > 0) {
       flushed = flush(ledger);
     }
-    objects.put(name(incarnation, LAST), encode(List.of()));
+    objects.put(name(incarnation, FINAL_SEGMENT), encode(List.of()));
   }
 
   /** Segments written so far. */
@@ -94,9 +94,9 @@
 
   /** Reads the records of another incarnation, which is gone. */
   public synchronized Lookup lookup(String gone, String key) throws PlatformException {
-    Cached cached = cache.computeIfAbsent(gone, i -> new Cached());
+    CachedIncarnation cached = cache.computeIfAbsent(gone, i -> new CachedIncarnation());
     long now = clocks.nanos();
-    boolean due = cached.readNanos == 0 || now - cached.readNanos > REREAD_NANOS;
+    boolean due = cached.readNanos == 0 || now - cached.readNanos > REFRESH_NANOS;
     if (!cached.complete && due) {
       read(gone, cached);
       cached.readNanos = now;
@@ -104,8 +104,8 @@
     return new Lookup(Optional.ofNullable(cached.byKey.get(key)), cached.complete);
   }
 
-  private void read(String gone, Cached cached) throws PlatformException {
-    boolean last = objects.get(name(gone, LAST)).isPresent();
+  private void read(String gone, CachedIncarnation cached) throws PlatformException {
+    boolean last = objects.get(name(gone, FINAL_SEGMENT)).isPresent();
     Optional<byte[]> segment = objects.get(name(gone, String.valueOf(cached.nextSegment)));
     while (segment.isPresent()) {
       for (OutcomeLedger.Finished finished : decode(segment.get())) {
