--- a/core/src/main/java/org/magnoliaswitch/core/process/ClaimBatcher.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ClaimBatcher.java
@@ -20,20 +20,21 @@
 import org.magnoliaswitch.core.version.Json;
 
 /**
- * Groups claims of keys into one table transaction each.
+ * Combines claims of keys into table transactions.
  *
- * <p>A claim inserts a row that must not exist. It is never taken over by lapse of time: its holder
- * may be paused and still send. A claim whose answer was lost is looked up; when the row is not
- * there it counts as unavailable, and should the write land later, the row still names the same
- * holder, which may then execute the key on the caller's next try.
+ * <p>A claim inserts a row that must not exist yet. It never passes to another holder because time
+ * has elapsed: its holder may be paused and still send the request. If the answer to a transaction
+ * is lost, the rows are read; a claim without a row counts as unavailable. Should the write be
+ * applied later, the row still names the same holder, which may then execute the key on the
+ * caller's next attempt.
  */
 public final class ClaimBatcher {
-  /** Claims per transaction. */
+  /** Maximum number of claims per transaction. */
   public static final int MAX_BATCH = 100;
 
   private static final String PREFIX = "claim/";
 
-  /** Content of a claim's row. */
+  /** JSON value of a claim's row. */
   private record Holder(String incarnation, String fingerprint) {}
 
   private record Pending(Claim claim, CompletableFuture<ClaimResult> result) {}
@@ -53,12 +54,16 @@
     return result;
   }
 
-  /** Whether claims wait. */
+  /** Returns whether claims are waiting for a transaction. */
   public synchronized boolean hasPending() {
     return !pending.isEmpty();
   }
 
-  /** Performs one transaction for the claims that wait; called by one thread at a time. */
+  /**
+   * Commits the waiting claims, at most {@link #MAX_BATCH}, in one transaction, and those without a
+   * conflict in another one if some keys turn out to be held. Concurrent calls are safe, since each
+   * takes a batch of its own.
+   */
   public void flush() {
     List<Pending> batch = takeBatch();
     if (batch.isEmpty()) {
@@ -68,7 +73,7 @@
     for (Pending next : batch) {
       Pending first = unique.putIfAbsent(next.claim().key(), next);
       if (first != null) {
-        // The same key twice in one batch: the second learns of the first.
+        // A key that occurs twice in a batch is claimed once; the second claim gets its result.
         var unused =
             first
                 .result()
@@ -79,7 +84,10 @@
     commit(new ArrayList<>(unique.values()));
   }
 
-  /** The incarnation that holds a key; nothing when the table has no such row or no answer. */
+  /**
+   * Returns the incarnation that holds a key, or empty if the table has no readable row for it or
+   * does not answer.
+   */
   public Optional<String> holder(String key) {
     try {
       Row row = table.read(List.of(PREFIX + key)).getFirst();
@@ -91,7 +99,7 @@
     }
   }
 
-  /** Transactions performed so far. */
+  /** Returns the number of transactions so far. */
   public long transactions() {
     return transactions.get();
   }
@@ -197,7 +205,7 @@
     try {
       return Json.MAPPER.writeValueAsString(new Holder(claim.incarnation(), claim.fingerprint()));
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a holder is always writable as JSON", e);
+      throw new IllegalStateException("the holder of a claim cannot be written as JSON", e);
     }
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/ClaimService.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ClaimService.java
@@ -23,11 +23,15 @@
 /**
  * Claims callers' own keys through a few instances, so that more claims share a transaction.
  *
- * <p>Which instance does the claiming is a matter of cost only: the row decides. Instances with
- * different views pick different ones, and one that does not answer is passed by.
+ * <p>Which instance performs a claim affects only the cost: the table row decides who holds the
+ * key. Instances with different views of the membership select different claiming instances, and
+ * one that does not answer is bypassed.
  */
 public final class ClaimService implements KeyClaims {
-  /** Instances that claim for all; each bounds its transactions by the claim window. */
+  /**
+   * Number of instances that claim the keys of all instances; each limits its transactions by the
+   * claim window.
+   */
   private static final int CLAIMING_INSTANCES = 3;
 
   private static final int MAX_CONCURRENT_TRANSACTIONS = 4;
@@ -130,7 +134,7 @@
     }
   }
 
-  /** One of the first few live instances in hash order, by rendezvous with the key. */
+  /** Selects one of the first live instances in hash order, by rendezvous hashing with the key. */
   private Member claimingInstance(String key) {
     List<Member> members = new ArrayList<>(membership.livePeers());
     members.add(membership.self());
--- a/core/src/main/java/org/magnoliaswitch/core/process/ConfigurationFollower.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ConfigurationFollower.java
@@ -12,7 +12,9 @@
 import org.magnoliaswitch.core.platform.PlatformException;
 import org.magnoliaswitch.core.version.Digest;
 
-/** Brings newer versions to this instance, from peers first and from the store otherwise. */
+/**
+ * Fetches newer versions of the configuration, from the peers that announce them or from the store.
+ */
 public final class ConfigurationFollower {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final int FETCH_TIMEOUT_MILLIS = 2_000;
@@ -30,17 +32,17 @@
     this.peers = peers;
   }
 
-  /** Where contents come from. */
+  /** Source of contents by digest. */
   private interface Source {
     Map<String, byte[]> fetch(List<String> digests) throws IOException, PlatformException;
   }
 
-  /** Adopts a version a peer has, when it is newer; true when it was. */
+  /** Adopts the version that a peer announces if it is newer; returns whether it was adopted. */
   public boolean followPeer(Address peer, long version, String manifest) {
     return follow(version, manifest, digests -> fromPeer(peer, digests));
   }
 
-  /** Reads the head and adopts it, when it is newer. */
+  /** Reads the head and adopts its version if it is newer; returns whether it was adopted. */
   public boolean followStore() throws PlatformException {
     ConfigurationStore.Head head = store.head();
     return follow(head.version(), head.manifest(), this::fromStore);
@@ -68,9 +70,9 @@
   private void cacheVerified(Map<String, byte[]> contents, List<String> wanted) throws IOException {
     for (String digest : wanted) {
       byte[] content = contents.get(digest);
-      // The digest is checked, so a peer with damaged content cannot pass it on.
+      // The digest is verified, so that corrupted content of a peer does not spread.
       if (content == null || !Digest.of(content).equals(digest)) {
-        throw new IOException("content " + digest + " is not there");
+        throw new IOException("content " + digest + " is missing or does not match its digest");
       }
       cache.put(content);
     }
--- a/core/src/main/java/org/magnoliaswitch/core/process/ConfigurationStore.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ConfigurationStore.java
@@ -15,12 +15,13 @@
 import org.magnoliaswitch.core.version.Manifest;
 
 /**
- * Accepted configuration versions in the platform's services.
+ * Accepted configuration versions in the platform's table and object store.
  *
- * <p>A version is accepted by one transaction that moves the head row from the version it was made
- * from to the next one and inserts a row for the change id. Contents are stored before, under their
- * digests. The head row is the only place where versions are ordered, so two operators cannot both
- * win; the change row makes a repeated change recognisable after its answer was lost.
+ * <p>A version is accepted by one transaction that advances the head row from the version on which
+ * it is based to the next one and inserts a row for the change id. Contents are stored before,
+ * under their digests. Versions are ordered by the head row alone, so of two concurrent changes to
+ * the same version only one is accepted; the change row identifies a repeated change whose first
+ * answer was lost.
  */
 public final class ConfigurationStore {
   /** Row that holds the number and digest of the latest accepted version. */
@@ -33,25 +34,25 @@
   private static final String CONTENT_PREFIX = "configuration/content/";
 
   /**
-   * A version and where its manifest is.
+   * A version and the digest of its manifest.
    *
-   * @param version number, 0 for none
+   * @param version version number, 0 if there is none
    * @param manifest digest of the manifest
    */
   public record Head(long version, String manifest) {
-    /** Nothing was ever accepted. */
+    /** No version was accepted yet. */
     public static final Head NONE = new Head(0, "");
   }
 
-  /** What came of a change. */
+  /** Result of a change. */
   public sealed interface Acceptance {
-    /** Accepted now or, when {@code repeated}, earlier under the same change id. */
+    /** Accepted now or, if {@code repeated}, earlier under the same change id. */
     record Accepted(Head head, boolean repeated) implements Acceptance {}
 
-    /** Refused since another change came first. */
+    /** Rejected because another change was accepted first. */
     record Raced(Head current) implements Acceptance {}
 
-    /** The platform did not say; the same change id may be sent again. */
+    /** The platform did not answer; the same change id may be sent again. */
     record Undecided(String reason) implements Acceptance {}
   }
 
@@ -63,17 +64,17 @@
     this.objects = objects;
   }
 
-  /** The latest accepted version. */
+  /** Returns the latest accepted version. */
   public Head head() throws PlatformException {
     return readHead(table.read(List.of(HEAD_KEY)).getFirst());
   }
 
-  /** A content by digest. */
+  /** Returns the content with the given digest. */
   public Optional<byte[]> content(String digest) throws PlatformException {
     return objects.get(CONTENT_PREFIX + digest);
   }
 
-  /** The latest versions, newest first. */
+  /** Returns the latest versions, newest first. */
   public List<Head> history(int limit) throws PlatformException {
     return table.scan(VERSION_PREFIX, limit).stream()
         .map(ConfigurationStore::readUnchecked)
@@ -81,9 +82,10 @@
   }
 
   /**
-   * Accepts a manifest when its predecessor is still the head.
+   * Accepts a manifest if its predecessor is still the head.
    *
    * @param manifest the version to accept
+   * @param digest digest of the manifest
    * @param contents manifest and parts by digest
    */
   public Acceptance accept(Manifest manifest, String digest, Map<String, byte[]> contents) {
@@ -124,7 +126,7 @@
   }
 
   private Acceptance resolveConflict(Manifest manifest) throws PlatformException {
-    // The own earlier try may be the winner, when its answer was lost and its write landed late.
+    // An earlier attempt of this change may have won, its answer lost and its write applied late.
     Optional<Head> own = acceptedChange(manifest.changeId());
     return own.isPresent()
         ? new Acceptance.Accepted(own.get(), true)
@@ -134,7 +136,7 @@
   private Acceptance resolveUnknown(Manifest manifest, TransactionResult.Unknown unknown)
       throws PlatformException {
     Optional<Head> own = acceptedChange(manifest.changeId());
-    // Absence proves nothing here: the write may still land. Only presence does.
+    // Only the presence of the row is conclusive: if it is absent, the write may still be applied.
     return own.isPresent()
         ? new Acceptance.Accepted(own.get(), false)
         : new Acceptance.Undecided(unknown.reason());
@@ -156,7 +158,7 @@
     try {
       return Json.MAPPER.readValue(row.value(), Head.class);
     } catch (IOException e) {
-      throw new PlatformException("unreadable row " + row.key(), e);
+      throw new PlatformException("no version can be read from row " + row.key(), e);
     }
   }
 
@@ -172,7 +174,7 @@
     try {
       return Json.MAPPER.writeValueAsString(head);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a head is always writable as JSON", e);
+      throw new IllegalStateException("the head cannot be written as JSON", e);
     }
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/ContentCache.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ContentCache.java
@@ -7,35 +7,35 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.magnoliaswitch.core.version.Digest;
 
-/** Contents of the configuration versions an instance may be asked for, by digest. */
+/** Contents of the configuration versions that peers may request, by digest. */
 public final class ContentCache {
   private final Map<String, byte[]> byDigest = new ConcurrentHashMap<>();
 
-  /** Keeps a content and returns its digest. */
+  /** Stores a content and returns its digest. */
   public String put(byte[] content) {
     String digest = Digest.of(content);
     byDigest.put(digest, content);
     return digest;
   }
 
-  /** The content of a digest. */
+  /** Returns the content with the given digest. */
   public Optional<byte[]> get(String digest) {
     return Optional.ofNullable(byDigest.get(digest));
   }
 
-  /** The contents held out of those asked for. */
+  /** Returns those of the requested contents that are cached. */
   public Map<String, byte[]> select(Collection<String> digests) {
     Map<String, byte[]> found = new HashMap<>();
     digests.forEach(digest -> get(digest).ifPresent(content -> found.put(digest, content)));
     return found;
   }
 
-  /** Drops everything but the given digests. */
+  /** Removes all contents except those with the given digests. */
   public void retain(Collection<String> digests) {
     byDigest.keySet().retainAll(digests);
   }
 
-  /** Bytes held. */
+  /** Returns the total size of the contents in bytes. */
   public long size() {
     return byDigest.values().stream().mapToLong(content -> content.length).sum();
   }
--- a/core/src/main/java/org/magnoliaswitch/core/process/ControlPlane.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ControlPlane.java
@@ -26,7 +26,10 @@
 import org.magnoliaswitch.core.platform.PlatformException;
 import org.magnoliaswitch.core.version.ServerState;
 
-/** Membership, configuration and claims of one instance, with their timers and peer listener. */
+/**
+ * The control plane of one instance: membership, configuration and key claims, with their timers
+ * and the peer listener.
+ */
 public final class ControlPlane implements AutoCloseable {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final int TIMELINE_CAPACITY = 20_000;
@@ -37,12 +40,12 @@
   private static final long PROBE_TICK_MILLIS = 100;
 
   /**
-   * What an instance is given to run its control.
+   * Parameters of the control plane.
    *
-   * @param identity who it is
-   * @param seeds peers to meet first
-   * @param gossip rates
-   * @param secret shared by all instances
+   * @param identity name and addresses of the instance
+   * @param seeds peers to contact first
+   * @param gossip rates of the gossip
+   * @param secret secret shared by all instances
    */
   public record Setup(
       InstanceIdentity identity, List<Address> seeds, GossipSettings gossip, PeerSecret secret) {}
@@ -114,7 +117,7 @@
     timeline.record(EventKind.STARTED, "incarnation=" + self.incarnation());
   }
 
-  /** Begins to meet peers and to follow the configuration. */
+  /** Starts the exchanges with peers and the polling of the configuration. */
   public void start() {
     executor.execute(this::catchUp);
     scheduleRepeatedly(gossip::exchangeWithRandomPeer, gossip::nextExchangeMillis);
@@ -126,10 +129,10 @@
   }
 
   /**
-   * Brings this instance up to date with store and peers.
+   * Brings this instance up to date with the store and its peers.
    *
-   * <p>It asks several peers before it counts as ready, so that a fresh instance does not start
-   * with a version that most others have left behind.
+   * <p>Several peers are asked before the instance counts as ready, so that a new instance does not
+   * start with a version that most others have already replaced.
    */
   public void catchUp() {
     int answered = gossip.exchangeWithPeers(INITIAL_EXCHANGES);
@@ -139,19 +142,22 @@
         "event=caught_up peers=%d version=%d", answered, state.version().get().version());
   }
 
-  /** Whether peers and store were asked, a version is in force, and the instance does not leave. */
+  /**
+   * Returns whether peers and store were asked, a version is in force, and the instance is not
+   * leaving.
+   */
   public boolean ready() {
     return caughtUp && state.version().get().version() > 0 && !state.membership().leaving();
   }
 
-  /** Tells peers that this instance leaves and records all outcomes. */
+  /** Announces to peers that this instance is leaving. */
   public void leave() {
     state.timeline().record(EventKind.STOPPING, "");
     state.membership().leave();
     gossip.exchangeWithPeers(LEAVE_EXCHANGES);
   }
 
-  /** Writes the last outcome record; call it when no request is at work any more. */
+  /** Writes the final outcome record; must be called after the last request has finished. */
   public void writeFinalRecord() {
     try {
       records.close(ledger);
@@ -186,9 +192,9 @@
 
   private void pollStore() {
     try {
-      boolean news = follower.followStore();
+      boolean changed = follower.followStore();
       state.contact().recordContact();
-      if (news) {
+      if (changed) {
         gossip.pushUpdate();
       }
       mergeInstanceList(platform.instances().list());
@@ -204,27 +210,27 @@
             .filter(InstanceList.Listed::leaving)
             .map(InstanceList.Listed::id)
             .collect(Collectors.toSet());
-    boolean news = false;
+    boolean changed = false;
     for (String id : leavingNow) {
-      news |= recordLeaving(id, true, leaving.markLeaving(id, LeavingMark.Sign.LIST));
+      changed |= recordLeaving(id, true, leaving.markLeaving(id, LeavingMark.Sign.LIST));
     }
     for (String id : leaving.leavingBy(LeavingMark.Sign.LIST)) {
       if (!leavingNow.contains(id)) {
-        news |= recordLeaving(id, false, leaving.markReturned(id, LeavingMark.Sign.LIST));
+        changed |= recordLeaving(id, false, leaving.markReturned(id, LeavingMark.Sign.LIST));
       }
     }
-    if (news) {
+    if (changed) {
       gossip.pushUpdate();
     }
   }
 
-  private boolean recordLeaving(String server, boolean leaves, boolean news) {
-    if (news) {
+  private boolean recordLeaving(String server, boolean leaving, boolean changed) {
+    if (changed) {
       state
           .timeline()
-          .record(EventKind.SERVER_LEAVING, "", "", server, "sign=list leaving=" + leaves);
+          .record(EventKind.SERVER_LEAVING, "", "", server, "sign=list leaving=" + leaving);
     }
-    return news;
+    return changed;
   }
 
   private void maintain() {
@@ -240,14 +246,14 @@
   }
 
   /**
-   * Closes connections that are of no more use. A server that leaves will close its side: found
-   * idle after its replacement a few seconds later, such connections broke 34 reads of a rolling
-   * replacement.
+   * Closes connections that are no longer needed. A leaving server closes its side: connections
+   * that were still idle when the server was replaced a few seconds later broke 34 reads during a
+   * rolling replacement.
    */
   private void closeUnusedConnections(ServerHandle handle) {
-    boolean leaves =
+    boolean leaving =
         handle.server().state() == ServerState.DRAINING || state.leaving().leaving(handle.id());
-    if (leaves) {
+    if (leaving) {
       handle.pool().closeIdle();
     } else {
       handle.pool().sweep();
@@ -282,67 +288,70 @@
     }
   }
 
-  /** Membership, departures, version and time line. */
+  /**
+   * Returns the in-memory state: membership, leaving servers, version, timeline, crash reports and
+   * contact.
+   */
   public ControlState state() {
     return state;
   }
 
-  /** Accepted versions in the platform. */
+  /** Returns the store of accepted versions. */
   public ConfigurationStore store() {
     return store;
   }
 
-  /** Contents that peers may ask for. */
+  /** Returns the contents that peers may request. */
   public ContentCache cache() {
     return cache;
   }
 
-  /** Gossip with peers. */
+  /** Returns the gossip with peers. */
   public Gossip gossip() {
     return gossip;
   }
 
-  /** Services in force. */
+  /** Returns the services in force. */
   public ServiceRegistry registry() {
     return registry;
   }
 
-  /** Probes of quiet servers. */
+  /** Returns the prober of servers without recent contact. */
   public Prober prober() {
     return prober;
   }
 
-  /** Counts of the peer protocol. */
+  /** Returns the traffic counters of the peer protocol. */
   public PeerTraffic traffic() {
     return traffic;
   }
 
-  /** Issuer of keys. */
+  /** Returns the issuer of keys. */
   public KeyIssuer issuer() {
     return issuer;
   }
 
-  /** Keys of this incarnation. */
+  /** Returns the keys of this incarnation. */
   public OutcomeLedger ledger() {
     return ledger;
   }
 
-  /** Outcome records. */
+  /** Returns the outcome records. */
   public OutcomeRecords records() {
     return records;
   }
 
-  /** Claims of callers' own keys. */
+  /** Returns the service that claims callers' own keys. */
   public ClaimService claims() {
     return claims;
   }
 
-  /** Claim transactions. */
+  /** Returns the batcher of claim transactions. */
   public ClaimBatcher batcher() {
     return batcher;
   }
 
-  /** The clocks of the process. */
+  /** Returns the clocks of the process. */
   public Clocks clocks() {
     return clocks;
   }
--- a/core/src/main/java/org/magnoliaswitch/core/process/ControlState.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ControlState.java
@@ -1,14 +1,14 @@
 package org.magnoliaswitch.core.process;
 
 /**
- * What control keeps in memory for the life of the process.
+ * State that the control plane keeps in memory for the lifetime of the process.
  *
- * @param membership instances known
- * @param leaving backend servers noticed to leave
+ * @param membership known instances
+ * @param leaving backend servers that are leaving
  * @param version configuration in force
  * @param timeline recent events
- * @param crashes requests under which servers end
- * @param contact when peers or the platform were heard last
+ * @param crashes reports of requests during which servers crash
+ * @param contact time of the last contact with peers or the platform
  */
 public record ControlState(
     Membership membership,
--- a/core/src/main/java/org/magnoliaswitch/core/process/CrashGossip.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/CrashGossip.java
@@ -13,14 +13,14 @@
 import org.magnoliaswitch.core.peer.PeerMessage;
 
 /**
- * Spreads what is known of requests under which servers end, like other news: pushed to a few peers
- * at once, who push on what was new to them, and compared with peers now and then. While nothing is
- * known, nothing is sent.
+ * Spreads reports of requests during which servers crash. New reports are pushed to a few peers at
+ * once, which push on those that were new to them; periodically, all reports are exchanged with a
+ * few peers. Nothing is sent while there are no reports.
  */
 final class CrashGossip {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final int CALL_TIMEOUT_MILLIS = 1_000;
-  private static final PeerMessage.Crashes NOTHING =
+  private static final PeerMessage.Crashes NO_REPORTS =
       new PeerMessage.Crashes(CrashReportCodec.encode(List.of()));
 
   private final CrashWatch crashes;
@@ -39,18 +39,21 @@
     crashes.addListener(this::publish);
   }
 
-  /** Takes what a peer tells, and tells it what is known here. */
-  PeerMessage answer(PeerMessage.Crashes told) {
+  /** Receives a peer's reports and returns those of this instance. */
+  PeerMessage answer(PeerMessage.Crashes received) {
     try {
-      crashes.receive(CrashReportCodec.decode(told.reports()), CrashWatch.Source.PEER);
+      crashes.receive(CrashReportCodec.decode(received.reports()), CrashWatch.Source.PEER);
     } catch (IOException e) {
       logger.atWarning().withCause(e).log("event=crash_reports_malformed");
       return new PeerMessage.Unsupported("malformed reports");
     }
-    return crashes.isEmpty() ? NOTHING : all();
+    return crashes.isEmpty() ? NO_REPORTS : all();
   }
 
-  /** Compares with a few peers, which repairs what a push has missed; called now and then. */
+  /**
+   * Exchanges all reports with a few peers, which repairs what pushes have missed; called
+   * periodically.
+   */
   void repair() {
     if (!crashes.isEmpty()) {
       gossip.pushTargets().forEach(peer -> send(peer, all()));
@@ -77,8 +80,8 @@
                 source.name().toLowerCase(Locale.ROOT)));
   }
 
-  private void push(List<CrashReport> news) {
-    PeerMessage.Crashes message = new PeerMessage.Crashes(CrashReportCodec.encode(news));
+  private void push(List<CrashReport> newReports) {
+    PeerMessage.Crashes message = new PeerMessage.Crashes(CrashReportCodec.encode(newReports));
     try {
       gossip.pushTargets().forEach(peer -> executor.execute(() -> send(peer, message)));
     } catch (RejectedExecutionException e) {
@@ -89,8 +92,8 @@
   private void send(Address peer, PeerMessage.Crashes message) {
     try {
       PeerMessage reply = client.call(peer, message, CALL_TIMEOUT_MILLIS);
-      if (reply instanceof PeerMessage.Crashes known) {
-        crashes.receive(CrashReportCodec.decode(known.reports()), CrashWatch.Source.PEER);
+      if (reply instanceof PeerMessage.Crashes peerReports) {
+        crashes.receive(CrashReportCodec.decode(peerReports.reports()), CrashWatch.Source.PEER);
       }
     } catch (IOException e) {
       logger.atFine().log("event=crash_gossip_failed peer=%s cause=%s", peer, e);
--- a/core/src/main/java/org/magnoliaswitch/core/process/CrashWatch.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/CrashWatch.java
@@ -15,41 +15,43 @@
 import org.magnoliaswitch.core.crash.Verdict;
 
 /**
- * What this instance knows of requests under which servers end, its own reports and those of
- * others. Safe for several threads: requests read a table that is swapped as a whole.
+ * Reports of requests during which servers crash, from this instance and from others. Thread-safe:
+ * requests read a table that is replaced as a whole.
  */
 public final class CrashWatch {
-  /** Where reports come from. */
+  /** Source of reports. */
   public enum Source {
-    /** This instance saw it. */
+    /** Observed by this instance. */
     OWN,
-    /** An instance told it that listens to this one. */
+    /** Received from an instance that subscribes to this one. */
     LISTENER,
-    /** An instance told it that this one listens to. */
+    /** Received from an instance to which this one subscribes. */
     PEER,
-    /** It was read from the store. */
+    /** Read from the store. */
     STORE
   }
 
   /**
-   * What was learnt at once.
+   * Effect of reports that were received together.
    *
-   * @param news reports that were new here
-   * @param changes requests whose standing they changed
+   * @param newReports reports that were not known here
+   * @param changes requests whose suspicion level they changed
+   * @param source source of the reports
    */
   public record Update(List<CrashReport> newReports, List<Change> changes, Source source) {}
 
   /**
-   * A request whose standing changed.
+   * A request whose suspicion level changed.
    *
-   * @param ends incarnations whose ends count
+   * @param level new suspicion level
+   * @param crashedServers incarnations whose crashes count against the request
    */
   public record Change(RequestIdentity request, SuspicionLevel level, Set<String> crashedServers) {}
 
-  /** Is told of what was learnt. */
+  /** Receives updates. */
   @FunctionalInterface
   public interface Listener {
-    /** Called on the thread that brought the reports. */
+    /** Called on the thread that received the reports. */
     void updated(Update update);
   }
 
@@ -62,89 +64,96 @@
     this.clocks = clocks;
   }
 
-  /** Adds somebody who is told of news. */
+  /** Adds a listener for updates. */
   public void addListener(Listener listener) {
     listeners.add(listener);
   }
 
-  /** Sets how to know whether others would hear of a trial that begins here. */
+  /**
+   * Sets the condition under which trials may begin here: that other instances would receive the
+   * report of a trial.
+   */
   public void allowTrialsWhen(BooleanSupplier condition) {
     trialsAllowed = condition;
   }
 
-  /** What is known now. */
+  /** Returns the current table. */
   public CrashTable table() {
     return table.get();
   }
 
-  /** Whether nothing is known of any request, so that none needs to be looked up. */
+  /** Returns whether there are no reports of any request, so that none needs to be looked up. */
   public boolean isEmpty() {
     return table.get().isEmpty();
   }
 
   /**
-   * What may be done with a request now. An instance that nobody hears makes no trial: each of a
-   * hundred would make one of its own, and each takes a server.
+   * Returns what may be done with a request now. An instance whose reports reach no other instance
+   * begins no trial: otherwise, each of a hundred such instances would begin a trial of its own,
+   * and each trial costs a server.
    */
   public Verdict verdict(RequestIdentity request) {
     Verdict verdict = table.get().verdict(request, clocks.nanos());
-    boolean alone = verdict == Verdict.TRIAL && !trialsAllowed.getAsBoolean();
-    return alone ? Verdict.REFUSED : verdict;
+    boolean denied = verdict == Verdict.TRIAL && !trialsAllowed.getAsBoolean();
+    return denied ? Verdict.REFUSED : verdict;
   }
 
-  /** Notes that a suspect request is about to be let through, so that nobody else does it too. */
+  /**
+   * Records that a suspect request is about to be sent to a server, so that no other instance sends
+   * it as well.
+   */
   public void recordTrial(RequestIdentity request) {
     int trial = table.get().trials(request) + 1;
-    take(List.of(new CrashReport.TrialStarted(request, trial)), Source.OWN);
+    add(List.of(new CrashReport.TrialStarted(request, trial)), Source.OWN);
   }
 
   /**
-   * Notes a server's end under a request.
+   * Records that a server crashed while serving a request.
    *
-   * @param identities what the request is, in every way in which it is judged
+   * @param identities all identities under which the request is judged
+   * @param warned whether the request was already suspect when it was sent
    */
   public void recordCrash(List<RequestIdentity> identities, String server, boolean warned) {
     List<CrashReport> reports = new ArrayList<>();
     identities.forEach(identity -> reports.add(new CrashReport.Crashed(identity, server, warned)));
-    take(reports, Source.OWN);
+    add(reports, Source.OWN);
   }
 
   /**
-   * Notes that a server has run a request and lives.
+   * Records that a server has answered a request and is alive.
    *
-   * @param identities what the request is, in every way in which it is judged
-   * @param sentNanos when the request was sent; what became known later may be newer than the
-   *     answer
+   * @param identities all identities under which the request is judged
+   * @param sentNanos when the request was sent; reports received later may be newer than the answer
    */
   public void recordAnswer(List<RequestIdentity> identities, String server, long sentNanos) {
-    CrashTable now = table.get();
+    CrashTable current = table.get();
     List<CrashReport> reports = new ArrayList<>();
     for (RequestIdentity identity : identities) {
-      if (now.clearable(identity)) {
-        reports.add(now.clearanceFor(identity));
+      if (current.clearable(identity)) {
+        reports.add(current.clearanceFor(identity));
       }
     }
-    if (now.presumedCrashed(server)) {
-      reports.addAll(now.clearancesForServer(server, sentNanos));
+    if (current.presumedCrashed(server)) {
+      reports.addAll(current.clearancesForServer(server, sentNanos));
     }
     if (!reports.isEmpty()) {
-      take(reports, Source.OWN);
+      add(reports, Source.OWN);
     }
   }
 
-  /** Takes reports of others. */
+  /** Receives reports from other instances or from the store. */
   public void receive(List<CrashReport> reports, Source source) {
     if (!reports.isEmpty()) {
-      take(reports, source);
+      add(reports, source);
     }
   }
 
-  /** Forgets what has been quiet for long. */
+  /** Removes expired reports. */
   public synchronized void removeExpired() {
     table.set(table.get().withoutExpired(clocks.nanos()));
   }
 
-  private void take(List<CrashReport> reports, Source source) {
+  private void add(List<CrashReport> reports, Source source) {
     Update update;
     synchronized (this) {
       CrashTable before = table.get();
@@ -158,13 +167,13 @@
   }
 
   private static List<Change> changes(CrashTable before, CrashTable.Update update) {
-    Set<RequestIdentity> touched = new LinkedHashSet<>();
-    update.newReports().forEach(report -> touched.add(report.request()));
+    Set<RequestIdentity> affected = new LinkedHashSet<>();
+    update.newReports().forEach(report -> affected.add(report.request()));
     List<Change> changes = new ArrayList<>();
-    for (RequestIdentity request : touched) {
-      SuspicionLevel standing = update.table().suspicionLevel(request);
-      if (standing != before.suspicionLevel(request)) {
-        changes.add(new Change(request, standing, update.table().serversCrashedDuring(request)));
+    for (RequestIdentity request : affected) {
+      SuspicionLevel level = update.table().suspicionLevel(request);
+      if (level != before.suspicionLevel(request)) {
+        changes.add(new Change(request, level, update.table().serversCrashedDuring(request)));
       }
     }
     return changes;
--- a/core/src/main/java/org/magnoliaswitch/core/process/CurrentVersion.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/CurrentVersion.java
@@ -18,8 +18,8 @@
 /**
  * The configuration in force at this instance.
  *
- * <p>It is swapped as a whole and its number only rises: an older version that arrives late, from a
- * peer that lagged or from the store, changes nothing.
+ * <p>It is replaced as a whole and its version number only increases: an older version that arrives
+ * late, from a lagging peer or from the store, is ignored.
  */
 public final class CurrentVersion {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -35,39 +35,42 @@
     this.timeline = timeline;
   }
 
-  /** The snapshot in force. */
+  /** Returns the snapshot in force. */
   public Snapshot get() {
     return current.get();
   }
 
-  /** Calls a listener after every swap. */
+  /** Adds a listener that is called after each replacement. */
   public void addListener(Consumer<Snapshot> listener) {
     listeners.add(listener);
   }
 
-  /** Whether a version is news worth fetching. */
+  /** Returns whether a version is newer than the one in force and was not rejected. */
   public boolean shouldFetch(long version, String manifestDigest) {
     return version > current.get().version() && !manifestDigest.equals(rejectedDigest.get());
   }
 
-  /** Digests of a manifest's parts that are not held yet; the manifest itself must be held. */
+  /**
+   * Returns the digests of a manifest's parts that are not cached yet; the manifest itself must be
+   * cached.
+   */
   public List<String> missingParts(String manifestDigest) throws IOException {
     List<String> missing = new ArrayList<>(manifest(manifestDigest).parts().values());
     missing.removeIf(digest -> cache.get(digest).isPresent());
     return missing;
   }
 
-  /** Reads a held manifest. */
+  /** Reads a cached manifest. */
   public Manifest manifest(String manifestDigest) throws IOException {
     byte[] content =
-        cache.get(manifestDigest).orElseThrow(() -> new IOException("manifest not held"));
+        cache.get(manifestDigest).orElseThrow(() -> new IOException("the manifest is not cached"));
     return Json.MAPPER.readValue(content, Manifest.class);
   }
 
   /**
-   * Puts a version in force whose contents are all held.
+   * Puts a version into force whose contents are all cached.
    *
-   * @return whether it is in force now
+   * @return whether the version was put into force
    */
   public synchronized boolean adopt(String manifestDigest) throws IOException {
     Manifest manifest = manifest(manifestDigest);
@@ -78,14 +81,16 @@
     for (Map.Entry<String, String> part : manifest.parts().entrySet()) {
       parts.put(
           part.getKey(),
-          cache.get(part.getValue()).orElseThrow(() -> new IOException("part not held")));
+          cache
+              .get(part.getValue())
+              .orElseThrow(() -> new IOException("a manifest part is not cached")));
     }
     try {
       Snapshot next = SnapshotParser.parse(manifest.version(), manifestDigest, parts);
       current.set(next);
-      List<String> keep = new ArrayList<>(manifest.parts().values());
-      keep.add(manifestDigest);
-      cache.retain(keep);
+      List<String> retained = new ArrayList<>(manifest.parts().values());
+      retained.add(manifestDigest);
+      cache.retain(retained);
       timeline.record(
           EventKind.VERSION_IN_FORCE,
           "version=" + next.version() + " change=" + manifest.changeId());
--- a/core/src/main/java/org/magnoliaswitch/core/process/EjectionPolicy.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/EjectionPolicy.java
@@ -5,11 +5,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides when a server that fails gets a pause; pure.
+ * Decides when a failing server is ejected; without side effects.
  *
- * <p>A server that rejects everything looks idle and would swallow the traffic. The ceiling keeps a
- * bad day, when every server fails, from ejecting everyone. After the pause the server is on trial:
- * its failures are forgotten, and the next few decide.
+ * <p>A server that rejects every request looks idle and would attract most of the traffic. The
+ * maximum share prevents the ejection of all servers when all of them fail. After the ejection the
+ * server is on trial: its earlier failures are discarded, and the next few samples decide.
  */
 public final class EjectionPolicy {
   private static final double FAILURE_SHARE_THRESHOLD = 0.5;
@@ -21,7 +21,7 @@
 
   private EjectionPolicy() {}
 
-  /** The ejection to put in force after a failure, or nothing. */
+  /** Returns the ejection to apply after a failure, or empty if there is none. */
   public static Optional<Ejection> decide(
       ServerLoad load, List<ServerHandle> servers, long nowNanos) {
     ServerLoad.Averages averages = load.averages();
@@ -35,9 +35,9 @@
     if (ejected + 1 > Math.max(1, MAX_EJECTED_SHARE * servers.size())) {
       return Optional.empty();
     }
-    boolean recent = last.count() > 0 && nowNanos - last.untilNanos() < REPEAT_WINDOW_NANOS;
-    int count = recent ? last.count() + 1 : 1;
-    long pause = BASE_EJECTION_NANOS << Math.min(MAX_DOUBLINGS, count - 1);
-    return Optional.of(new Ejection(nowNanos + pause, count));
+    boolean consecutive = last.count() > 0 && nowNanos - last.untilNanos() < REPEAT_WINDOW_NANOS;
+    int count = consecutive ? last.count() + 1 : 1;
+    long duration = BASE_EJECTION_NANOS << Math.min(MAX_DOUBLINGS, count - 1);
+    return Optional.of(new Ejection(nowNanos + duration, count));
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/EventKind.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/EventKind.java
@@ -1,6 +1,6 @@
 package org.magnoliaswitch.core.process;
 
-/** What happened, for filters of the time line. */
+/** Kinds of events, by which the timeline can be filtered. */
 public enum EventKind {
   STARTED,
   STOPPING,
--- a/core/src/main/java/org/magnoliaswitch/core/process/Gossip.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Gossip.java
@@ -17,10 +17,10 @@
 import org.magnoliaswitch.core.version.Snapshot;
 
 /**
- * Spreads membership, versions and departures by push and pull with random peers.
+ * Spreads membership, versions and leaving servers by push-pull exchanges with random peers.
  *
- * <p>Every interval one random peer is met, which repairs what was missed. News is pushed at once
- * to a few peers, each of which pushes it on when it was news there too, so it spreads in
+ * <p>At each interval an exchange with one random peer repairs what was missed. Updates are pushed
+ * at once to a few peers, each of which pushes them on if they were new to it, so they spread in
  * logarithmic time (Demers et al., "Epidemic algorithms for replicated database maintenance",
  * 1987).
  */
@@ -28,12 +28,13 @@
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final int CALL_TIMEOUT_MILLIS = 1_000;
 
-  /** Share of meetings with a configured seed, so that separated groups find each other again. */
+  /** Share of exchanges with a configured seed, so that separated groups find each other again. */
   private static final double SEED_SHARE = 0.05;
 
   /**
-   * Share of meetings with a peer that a connection is kept to. Opening one costs more bytes than a
-   * meeting; the others bring in new peers, so that the kept ones change all the time.
+   * Share of exchanges with a seed or with a peer to which a connection is kept. Opening a
+   * connection costs more bytes than an exchange; the remaining exchanges bring in new peers, so
+   * that the kept connections change continually.
    */
   private static final double CONNECTED_SHARE = 0.8;
 
@@ -73,35 +74,38 @@
     this.executor = executor;
   }
 
-  /** Meets one random peer; called every interval. */
+  /** Exchanges digests with one random peer; called at each interval. */
   public void exchangeWithRandomPeer() {
     List<Address> peers = pick(1);
     peers.forEach(this::exchange);
   }
 
-  /** Meets as many peers as are known, up to a bound; returns how many answered. */
-  public int exchangeWithPeers(int bound) {
+  /** Exchanges digests with random peers, up to the given number; returns how many answered. */
+  public int exchangeWithPeers(int maxPeers) {
     int answered = 0;
-    for (Address peer : pick(bound)) {
+    for (Address peer : pick(maxPeers)) {
       answered += exchange(peer) ? 1 : 0;
     }
     return answered;
   }
 
-  /** Tells a few peers at once; called when there is news. */
+  /**
+   * Exchanges digests with a few random peers at once; called when the state of this instance has
+   * changed.
+   */
   public void pushUpdate() {
     for (Address peer : pick(settings.pushFanout())) {
       push(peer);
     }
   }
 
-  /** Takes a peer's summary and returns this instance's own. */
+  /** Merges a peer's digest and returns that of this instance. */
   public GossipDigest answer(GossipDigest received) {
     merge(received);
     return digest();
   }
 
-  /** The summary of this instance. */
+  /** Returns the digest of this instance's state. */
   public GossipDigest digest() {
     Snapshot snapshot = version.get();
     var time = timeline.clock().next();
@@ -114,7 +118,7 @@
         leaving.recent());
   }
 
-  /** A few peers, chosen as for news. */
+  /** Returns a few random peers to which an update is pushed. */
   List<Address> pushTargets() {
     return pick(settings.pushFanout());
   }
@@ -153,22 +157,22 @@
   private void merge(GossipDigest received) {
     contact.recordContact();
     timeline.clock().merge(received.time());
-    boolean news = false;
+    boolean changed = false;
     for (Member member : received.members()) {
-      news |= mergeMember(member);
+      changed |= mergeMember(member);
     }
     for (LeavingMark mark : received.leaving()) {
       if (leaving.merge(mark)) {
         timeline.record(
             EventKind.SERVER_LEAVING, "", "", mark.server(), "sign=peer leaving=" + mark.leaving());
-        news = true;
+        changed = true;
       }
     }
     if (version.shouldFetch(received.version(), received.manifest())
         && !received.members().isEmpty()) {
       fetch(received);
     }
-    if (news) {
+    if (changed) {
       pushUpdate();
     }
   }
@@ -203,15 +207,15 @@
 
   private List<Address> pick(int count) {
     List<Address> known = new ArrayList<>(membership.peerAddresses());
-    List<Address> others = new ArrayList<>(seeds);
-    others.remove(membership.self().peerAddress());
-    List<Address> kept = new ArrayList<>(client.keptPeers());
-    kept.retainAll(known);
+    List<Address> otherSeeds = new ArrayList<>(seeds);
+    otherSeeds.remove(membership.self().peerAddress());
+    List<Address> connected = new ArrayList<>(client.keptPeers());
+    connected.retainAll(known);
     List<Address> picked = new ArrayList<>();
-    for (int tries = 0; tries < 3 * count && picked.size() < count; tries++) {
-      List<Address> pool = pool(known, others, kept);
-      if (!pool.isEmpty()) {
-        Address next = pool.get(random.nextInt(pool.size()));
+    for (int attempts = 0; attempts < 3 * count && picked.size() < count; attempts++) {
+      List<Address> candidates = candidates(known, otherSeeds, connected);
+      if (!candidates.isEmpty()) {
+        Address next = candidates.get(random.nextInt(candidates.size()));
         if (!picked.contains(next)) {
           picked.add(next);
         }
@@ -220,23 +224,28 @@
     return picked;
   }
 
-  private List<Address> pool(List<Address> known, List<Address> others, List<Address> kept) {
+  private List<Address> candidates(
+      List<Address> known, List<Address> otherSeeds, List<Address> connected) {
     double draw = random.nextDouble();
-    if (known.isEmpty() || (draw < SEED_SHARE && !others.isEmpty())) {
-      return others;
+    if (known.isEmpty() || (draw < SEED_SHARE && !otherSeeds.isEmpty())) {
+      return otherSeeds;
     }
-    return draw < CONNECTED_SHARE && !kept.isEmpty() ? kept : known;
+    return draw < CONNECTED_SHARE && !connected.isEmpty() ? connected : known;
   }
 
   /**
-   * Milliseconds until this instance next reads the head row, so that all together stay in bounds.
+   * Returns the milliseconds until this instance next reads the head row. The interval grows
+   * with the number of instances, so that the reads of all instances together stay bounded.
    */
   public long nextStorePollMillis() {
     long mean = (long) settings.storePollMillis() * Math.max(1, membership.size());
     return mean / 2 + random.nextLong(mean);
   }
 
-  /** Milliseconds until the next meeting, jittered so that instances do not march in step. */
+  /**
+   * Returns the milliseconds until the next exchange, with jitter so that the instances do not
+   * synchronize.
+   */
   public long nextExchangeMillis() {
     return settings.intervalMillis() * 3L / 4 + random.nextLong(settings.intervalMillis() / 2);
   }
--- a/core/src/main/java/org/magnoliaswitch/core/process/GossipSettings.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/GossipSettings.java
@@ -1,15 +1,16 @@
 package org.magnoliaswitch.core.process;
 
 /**
- * Rates of gossip, chosen so that traffic per instance does not grow with their number.
+ * Rates of the gossip, such that the traffic per instance does not grow with the number of
+ * instances.
  *
- * @param intervalMillis time between two exchanges that this instance begins
- * @param sampleSize members told per message
- * @param eagerPeers peers told at once of news
+ * @param intervalMillis time between two exchanges begun by this instance
+ * @param sampleSize number of members per message
+ * @param pushFanout number of peers to which an update is pushed at once
  * @param storePollMillis time between reads of the head row by all instances together
  */
 public record GossipSettings(
     int intervalMillis, int sampleSize, int pushFanout, int storePollMillis) {
-  /** What the scale measurements chose. */
+  /** Default rates. */
   public static final GossipSettings DEFAULT = new GossipSettings(1_000, 4, 3, 1_000);
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/InstanceIdentity.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/InstanceIdentity.java
@@ -6,11 +6,11 @@
 import org.magnoliaswitch.core.peer.MemberState;
 
 /**
- * Who an entry instance is and where it listens.
+ * Name, data centre and addresses of an entry instance.
  *
  * @param instance name from the settings
- * @param dataCentre where it runs
- * @param host IP number of its listeners
+ * @param dataCentre data centre in which it runs
+ * @param host IP address of its listeners
  * @param callerPort port for callers
  * @param operatorPort port for operators
  * @param peerPort port for peers
@@ -24,7 +24,10 @@
     int peerPort) {
   private static final int INCARNATION_BYTES = 6;
 
-  /** A member with a fresh incarnation: a restart is another instance. */
+  /**
+   * Returns a member with a new incarnation: after a restart the instance counts as a different
+   * one.
+   */
   public Member newIncarnation() {
     byte[] random = new byte[INCARNATION_BYTES];
     new SecureRandom().nextBytes(random);
--- a/core/src/main/java/org/magnoliaswitch/core/process/KeyClaims.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/KeyClaims.java
@@ -6,9 +6,12 @@
 
 /** Claims of callers' own keys in the platform's table. */
 public interface KeyClaims {
-  /** Claims a key; waits for the result at most until the time is up. */
+  /** Claims a key; waits for the result at most for the given time. */
   ClaimResult claim(Claim claim, int windowMillis, long waitNanos);
 
-  /** The incarnation that holds a key by its claim row, if the table says. */
+  /**
+   * Returns the incarnation that holds a key according to its claim row, or empty if the row is
+   * absent or cannot be read.
+   */
   Optional<String> holder(String key);
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/KeyIssuer.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/KeyIssuer.java
@@ -9,10 +9,11 @@
 import org.magnoliaswitch.core.peer.PeerSecret;
 
 /**
- * Issues idempotency keys that name the incarnation which alone may execute them.
+ * Issues idempotency keys, each of which names the only incarnation that may execute it.
  *
- * <p>Since nobody else ever runs such a key, the incarnation's memory is enough to run it at most
- * once, without a write to the platform, through a platform outage of any length.
+ * <p>As no other incarnation ever executes such a key, the memory of the incarnation suffices to
+ * execute it at most once, without a write to the platform and during a platform outage of any
+ * length.
  */
 public final class KeyIssuer {
   private static final String PREFIX = "mk1";
@@ -21,11 +22,11 @@
   private static final int SIGNATURE_BYTES = 12;
 
   /**
-   * An issued key's content.
+   * Content of an issued key.
    *
-   * @param incarnation who may execute it
+   * @param incarnation incarnation that may execute it
    * @param issuedMillis when it was issued, on the monotonic clock of its incarnation
-   * @param sequence number within the incarnation
+   * @param sequence sequence number within the incarnation
    */
   public record IssuedKey(String incarnation, long issuedMillis, long sequence) {
     private String text() {
@@ -52,13 +53,16 @@
     this.startNanos = clocks.nanos();
   }
 
-  /** A key that was never issued before. */
+  /** Returns a key that was never issued before. */
   public String issue() {
     String text = new IssuedKey(incarnation, monotonicMillis(), sequence.incrementAndGet()).text();
     return text + '.' + signature(text);
   }
 
-  /** The content of a key that an instance of this system issued; nothing for any other text. */
+  /**
+   * Returns the content of a key that an instance of this system issued, or empty for any other
+   * text.
+   */
   public Optional<IssuedKey> parse(String key) {
     String[] parts = key.split("\\.", -1);
     if (parts.length != PART_COUNT || !parts[0].equals(PREFIX)) {
@@ -77,10 +81,10 @@
     }
   }
 
-  /** Whether a key of this incarnation is older than the retention of outcomes. */
+  /** Returns whether a key of this incarnation is older than the retention of outcomes. */
   public boolean expired(IssuedKey key, long retentionSeconds) {
-    // The monotonic clock counts: a wall clock set back would revive a key whose outcome is
-    // forgotten.
+    // Uses the monotonic clock: a wall clock that is set back would make a key valid again whose
+    // outcome was already removed.
     return monotonicMillis() - key.issuedMillis() >= TimeUnit.SECONDS.toMillis(retentionSeconds);
   }
 
--- a/core/src/main/java/org/magnoliaswitch/core/process/KeyOutcome.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/KeyOutcome.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import java.util.Optional;
 
-/** What is known of a key at the incarnation that may execute it. */
+/** Outcome of a key as known to the incarnation that may execute it. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "type")
 @JsonSubTypes({
   @JsonSubTypes.Type(value = KeyOutcome.Executed.class, name = "executed"),
@@ -13,25 +13,28 @@
   @JsonSubTypes.Type(value = KeyOutcome.Running.class, name = "running")
 })
 public sealed interface KeyOutcome {
-  /** Executed; the answer is there unless it was too large to keep. */
+  /** Executed; the answer is present unless it was too large to keep. */
   record Executed(Optional<StoredAnswer> answer) implements KeyOutcome {}
 
   /**
    * Not executed; a later attempt under the key may be.
    *
-   * @param attempt number of the attempt that was told so. A balancer in front may have sent that
-   *     attempt twice; were its other copy executed now, what the caller was told would turn false
+   * @param attempt number of the attempt that was answered so. A balancer in front may have sent
+   *     that attempt twice; executing its other copy now would make the answer to the caller false
    */
   record NotExecuted(int attempt) implements KeyOutcome {
-    /** Whether a request may run after this: the caller knows of the earlier refusal. */
+    /**
+     * Returns whether an attempt may be executed: it must be later than the rejected one, which
+     * shows that the caller has received the rejection.
+     */
     boolean permits(int laterAttempt) {
       return laterAttempt > attempt;
     }
   }
 
-  /** Sent, and no whole answer came; never to be sent again. */
+  /** Sent, but no complete answer was received; must never be sent again. */
   record Unknown() implements KeyOutcome {}
 
-  /** At work now. */
+  /** Being executed now. */
   record Running() implements KeyOutcome {}
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/LastContact.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/LastContact.java
@@ -5,12 +5,13 @@
 import org.magnoliaswitch.core.clock.Clocks;
 
 /**
- * When this instance last heard from a peer or from the platform which version is the newest. Safe
- * for several threads.
+ * Time of the last contact with a peer or the platform, from which this instance receives newer
+ * versions. Thread-safe.
  */
 public final class LastContact {
   /**
-   * News takes a second or two to reach all; an instance that hears nothing for longer is alone.
+   * An update reaches all instances within a second or two; an instance without any contact for
+   * much longer is isolated.
    */
   private static final long ISOLATION_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(5);
 
@@ -21,12 +22,15 @@
     this.clocks = clocks;
   }
 
-  /** Notes that a peer or the platform has answered. */
+  /** Records a contact with a peer or the platform. */
   public void recordContact() {
     lastNanos = clocks.nanos();
   }
 
-  /** Whether nobody has told this instance for some time which version is the newest. */
+  /**
+   * Returns whether this instance had no contact for so long that it may have missed a newer
+   * version.
+   */
   public boolean isolated() {
     Long last = lastNanos;
     return last == null || clocks.nanos() - last > ISOLATION_TIMEOUT_NANOS;
--- a/core/src/main/java/org/magnoliaswitch/core/process/LatencyWindow.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/LatencyWindow.java
@@ -7,8 +7,8 @@
 /**
  * The most recent latencies of a service, for quantiles.
  *
- * <p>Sorting is done by whichever request first finds the quantile out of date, so a request pays
- * for it once in {@link #REFRESH_NANOS}.
+ * <p>The samples are sorted by the first request that finds the quantiles outdated, so only one
+ * request per {@link #REFRESH_NANOS} bears the cost.
  */
 public final class LatencyWindow {
   private static final int CAPACITY = 512;
@@ -25,7 +25,7 @@
     samples.set((int) (count.getAndIncrement() % CAPACITY), nanos);
   }
 
-  /** A quantile in nanoseconds, or the fallback while there are too few samples. */
+  /** Returns a quantile in nanoseconds, or the fallback if there are too few samples. */
   public long quantile(double quantile, long nowNanos, long fallbackNanos) {
     refresh(nowNanos);
     long[] values = sorted;
--- a/core/src/main/java/org/magnoliaswitch/core/process/LeavingServers.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/LeavingServers.java
@@ -10,18 +10,18 @@
 import org.magnoliaswitch.core.peer.LeavingMark.Sign;
 
 /**
- * Backend servers that leave, by whatever sign came first.
+ * Backend servers that are leaving according to any kind of sign.
  *
- * <p>Each kind of sign keeps its own latest word, so that a server whose own report is silent
- * cannot undo what the platform's list says. A mark ends when the same kind of sign takes it back,
- * or when no first-hand sign has renewed it for a while; peers pass marks on without renewing them,
- * so that they cannot keep one alive among themselves.
+ * <p>Each kind of sign has its own latest mark, so that a server whose own report says nothing
+ * cannot override the platform's list. A mark ends when the same kind of sign revokes it, or when
+ * no first-hand sign has renewed it within its lifetime; peers forward marks without renewing them,
+ * so that they cannot keep a mark alive among themselves.
  */
 public final class LeavingServers {
-  /** Longer than the time between first-hand signs of a server that goes on leaving. */
+  /** Longer than the time between two first-hand signs of a server that continues to leave. */
   private static final long MARK_LIFETIME_MILLIS = 30_000;
 
-  /** First-hand signs repeat what is known at most this often, so that news stays rare. */
+  /** Minimum time between two renewals of a mark by first-hand signs, which keeps updates rare. */
   private static final long RENEWAL_MILLIS = 5_000;
 
   private static final int MAX_MARKS_PER_MESSAGE = 12;
@@ -35,12 +35,17 @@
     this.clocks = clocks;
   }
 
-  /** Notes a first-hand sign that a server leaves; true when it is news worth telling. */
+  /**
+   * Records a first-hand sign that a server is leaving; returns whether peers should be informed.
+   */
   public boolean markLeaving(String server, Sign sign) {
     return recordFirstHand(new LeavingMark(server, sign, clocks.millis(), true));
   }
 
-  /** Notes a first-hand sign that a server does not leave (any more); true when it is news. */
+  /**
+   * Records a first-hand sign that a server is not leaving, or no longer; returns whether peers
+   * should be informed.
+   */
   public boolean markReturned(String server, Sign sign) {
     LeavingMark known = marks.get(new Key(server, sign));
     return known != null
@@ -48,7 +53,10 @@
         && recordFirstHand(new LeavingMark(server, sign, clocks.millis(), false));
   }
 
-  /** Takes a mark from a peer; true when it changes what is known. */
+  /**
+   * Merges a mark from a peer; returns whether it changes whether the server is leaving by its kind
+   * of sign.
+   */
   public boolean merge(LeavingMark mark) {
     if (expired(mark)) {
       return false;
@@ -66,7 +74,7 @@
     return after.leaving() != leftBefore;
   }
 
-  /** Whether the server must get no new work. */
+  /** Returns whether the server is leaving and must get no new requests. */
   public boolean leaving(String server) {
     if (marks.isEmpty()) {
       return false;
@@ -80,7 +88,7 @@
     return false;
   }
 
-  /** Servers that leave by one kind of sign. */
+  /** Returns the servers that are leaving by one kind of sign. */
   public List<String> leavingBy(Sign sign) {
     return marks.values().stream()
         .filter(mark -> mark.sign() == sign && mark.leaving() && !expired(mark))
@@ -88,7 +96,7 @@
         .toList();
   }
 
-  /** The most recent marks, bounded. */
+  /** Returns the most recent marks, as many as fit into a message. */
   public List<LeavingMark> recent() {
     marks.values().removeIf(this::expired);
     List<LeavingMark> recent = new ArrayList<>(marks.values());
@@ -98,11 +106,11 @@
 
   private boolean recordFirstHand(LeavingMark mark) {
     LeavingMark known = marks.get(new Key(mark.server(), mark.sign()));
-    boolean fresh =
+    boolean renewed =
         known != null
             && known.leaving() == mark.leaving()
             && mark.atMillis() - known.atMillis() < RENEWAL_MILLIS;
-    return !fresh && merge(mark);
+    return !renewed && merge(mark);
   }
 
   private boolean expired(LeavingMark mark) {
--- a/core/src/main/java/org/magnoliaswitch/core/process/LoadReport.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/LoadReport.java
@@ -5,13 +5,13 @@
 import java.util.TreeMap;
 
 /**
- * What a backend server says of its own load.
+ * Load that a backend server reports about itself.
  *
- * <p>Read from the {@code endpoint-load-metrics} header in its TEXT form, as the Open Request Cost
- * Aggregation format (ORCA) defines it: comma-separated {@code key=value} pairs.
+ * <p>It is read from the {@code endpoint-load-metrics} header in its TEXT form, as the Open Request
+ * Cost Aggregation format (ORCA) defines it: comma-separated {@code key=value} pairs.
  *
- * @param requests requests it holds, active and queued
- * @param slots requests it executes at once
+ * @param requests active and queued requests
+ * @param slots requests that it executes concurrently
  * @param draining whether it is about to stop
  */
 public record LoadReport(int requests, int slots, boolean draining) {
@@ -23,7 +23,7 @@
   private static final String SLOTS = "named_metrics.slots";
   private static final String DRAINING = "named_metrics.draining";
 
-  /** Parses a header value; anything malformed gives nothing, since reports only advise. */
+  /** Parses a header value; returns empty if it is malformed, since reports are only advisory. */
   public static Optional<LoadReport> parse(String header) {
     if (!header.startsWith(PREFIX)) {
       return Optional.empty();
@@ -49,7 +49,7 @@
             values.getOrDefault(DRAINING, 0.0) > 0));
   }
 
-  /** The header value for this report. */
+  /** Returns the header value of this report. */
   public String format() {
     return PREFIX
         + REQUESTS
--- a/core/src/main/java/org/magnoliaswitch/core/process/Membership.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Membership.java
@@ -16,22 +16,25 @@
 import org.magnoliaswitch.core.peer.MemberState;
 
 /**
- * The entry instances this one knows of, by incarnation.
+ * The entry instances known to this instance, by incarnation.
  *
- * <p>The view may lag or be wrong; nothing that must hold depends on it. It decides only whom to
- * gossip with, how servers are shared out and whom to ask about a key.
+ * <p>The view may lag or be wrong; no guarantee depends on it. It only determines with which peers
+ * to gossip, how servers are distributed and which instance to ask about a key.
  */
 public final class Membership {
-  /** Silence after which a member counts as gone, before the term for the number of members. */
+  /** Time without updates after which a member counts as gone, before the addition per member. */
   private static final long BASE_TIMEOUT_MILLIS = 8_000;
 
-  /** Each member more makes news of any one of them rarer, as samples are of fixed size. */
+  /**
+   * Addition per known member: as samples have a fixed size, updates of each member become rarer
+   * with their number.
+   */
   private static final long TIMEOUT_PER_MEMBER_MILLIS = 400;
 
-  /** How long a departed incarnation is remembered, so that old news cannot bring it back. */
+  /** How long a departed incarnation is kept, so that outdated updates cannot add it again. */
   private static final long DEPARTED_RETENTION_NANOS = TimeUnit.MINUTES.toNanos(30);
 
-  /** What a change in the view was. */
+  /** Effect of an update on the view. */
   public enum Change {
     NONE,
     JOINED,
@@ -50,38 +53,40 @@
     this.clocks = clocks;
   }
 
-  /** This instance, with a heartbeat of now. */
+  /** Returns this instance with a current heartbeat. */
   public Member self() {
     return self.beat(clocks.millis(), leaving ? MemberState.LEAVING : MemberState.SERVING);
   }
 
-  /** Makes this instance tell others that it leaves; final. */
+  /** Marks this instance as leaving; cannot be undone. */
   public void leave() {
     leaving = true;
   }
 
-  /** Whether this instance is leaving. */
+  /** Returns whether this instance is leaving. */
   public boolean leaving() {
     return leaving;
   }
 
-  /** Takes news of a member; older news and news of this incarnation change nothing. */
-  public Change merge(Member news) {
-    if (news.incarnation().equals(self.incarnation())) {
+  /**
+   * Merges an update of a member; outdated updates and those of this incarnation have no effect.
+   */
+  public Change merge(Member update) {
+    if (update.incarnation().equals(self.incarnation())) {
       return Change.NONE;
     }
     long now = clocks.nanos();
     Entry[] replaced = new Entry[1];
     Entry result =
         entries.merge(
-            news.incarnation(),
-            new Entry(news, now, now),
+            update.incarnation(),
+            new Entry(update, now, now),
             (before, fresh) -> {
               replaced[0] = before;
               return newer(before, fresh);
             });
     if (replaced[0] == null) {
-      return news.state() == MemberState.LEAVING ? Change.NONE : Change.JOINED;
+      return update.state() == MemberState.LEAVING ? Change.NONE : Change.JOINED;
     }
     boolean leftNow =
         result.member().state() == MemberState.LEAVING
@@ -89,25 +94,25 @@
     return leftNow ? Change.LEFT : Change.NONE;
   }
 
-  /** Members that serve as far as this instance knows, itself left out. */
+  /** Returns the other members that are serving, as far as is known. */
   public List<Member> livePeers() {
     long now = clocks.nanos();
-    long silence = timeoutNanos();
+    long timeout = timeoutNanos();
     List<Member> live = new ArrayList<>();
     for (Entry entry : entries.values()) {
-      if (entry.member().state() == MemberState.SERVING && now - entry.receivedNanos() < silence) {
+      if (entry.member().state() == MemberState.SERVING && now - entry.receivedNanos() < timeout) {
         live.add(entry.member());
       }
     }
     return live;
   }
 
-  /** Live instances, this one included. */
+  /** Returns the number of live instances, including this one unless it is leaving. */
   public int size() {
     return livePeers().size() + (leaving ? 0 : 1);
   }
 
-  /** The live member of an incarnation. */
+  /** Returns the member of an incarnation if it has not timed out. */
   public Optional<Member> live(String incarnation) {
     Entry entry = entries.get(incarnation);
     if (entry == null || clocks.nanos() - entry.receivedNanos() >= timeoutNanos()) {
@@ -116,12 +121,14 @@
     return Optional.of(entry.member());
   }
 
-  /** A bounded sample for gossip: this instance, the latest changes, then random members. */
+  /**
+   * Returns a sample for gossip: this instance, the members that changed last, then random ones.
+   */
   public List<Member> sample(int size, RandomGenerator random) {
     List<Entry> all = new ArrayList<>(entries.values());
     long now = clocks.nanos();
-    long silence = timeoutNanos();
-    all.removeIf(entry -> now - entry.receivedNanos() >= silence);
+    long timeout = timeoutNanos();
+    all.removeIf(entry -> now - entry.receivedNanos() >= timeout);
     all.sort(Comparator.comparingLong((Entry entry) -> now - entry.changedNanos()));
     List<Member> sample = new ArrayList<>();
     sample.add(self());
@@ -137,12 +144,12 @@
     return sample;
   }
 
-  /** Addresses of live peers. */
+  /** Returns the addresses of the live peers. */
   public Collection<Address> peerAddresses() {
     return livePeers().stream().map(Member::peerAddress).toList();
   }
 
-  /** This instance's rank among the live ones of its data centre, for even shares. */
+  /** Returns the rank of this instance among the live instances, for even shares. */
   public Rank rank() {
     List<String> ids = new ArrayList<>();
     ids.add(self.incarnation());
@@ -154,14 +161,14 @@
   }
 
   /**
-   * A position among instances.
+   * Position of an instance among the live instances.
    *
-   * @param index 0-based position
+   * @param index position, starting at 0
    * @param size number of instances
    */
   public record Rank(int index, int size) {}
 
-  /** Forgets members that have been silent for long. */
+  /** Removes the members without updates for a long time. */
   public void expire() {
     long now = clocks.nanos();
     entries.values().removeIf(entry -> now - entry.receivedNanos() > DEPARTED_RETENTION_NANOS);
@@ -175,7 +182,7 @@
   private static Entry newer(Entry before, Entry fresh) {
     boolean beforeLeft = before.member().state() == MemberState.LEAVING;
     boolean freshLeft = fresh.member().state() == MemberState.LEAVING;
-    // Leaving is final for an incarnation: news from before it left cannot undo it.
+    // Leaving is final for an incarnation: an update from before it left cannot undo it.
     if (beforeLeft && !freshLeft) {
       return before;
     }
--- a/core/src/main/java/org/magnoliaswitch/core/process/OutcomeLedger.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/OutcomeLedger.java
@@ -12,34 +12,34 @@
 import org.magnoliaswitch.core.clock.Clocks;
 
 /**
- * The keys that this incarnation has begun to execute, in memory.
+ * In-memory ledger of the keys that this incarnation has started to execute.
  *
  * <p>A key moves from running to one of three outcomes. Only {@link KeyOutcome.NotExecuted} leads
- * back to running, so a refused or expired request does not spoil its key, and a request that may
+ * back to running, so a rejected or expired request does not use up its key, and a request that may
  * have reached a server is never sent again.
  */
 public final class OutcomeLedger {
-  /** What a request under a key has to do. */
+  /** Decision on a request under a key. */
   public sealed interface Admission {
     /** Execute it, then call {@link OutcomeLedger#finish}. */
     record Execute() implements Admission {}
 
-    /** It is known already. */
+    /** The outcome of the key is already known. */
     record Known(KeyOutcome outcome) implements Admission {}
 
-    /** Another request under the same key is at work. */
+    /** Another request under the same key is being executed; its result is shared. */
     record Join(CompletableFuture<KeyOutcome> result) implements Admission {}
 
-    /** The key was used for another request. */
+    /** The key was used for a different request. */
     record Mismatch() implements Admission {}
   }
 
   /**
-   * A key with its outcome, as it goes into records.
+   * A key with its outcome, as written to records.
    *
    * @param key the key, prefixed by its service
    * @param fingerprint digest of the request
-   * @param outcome what became of it
+   * @param outcome outcome of the key
    */
   public record Finished(String key, String fingerprint, KeyOutcome outcome) {}
 
@@ -55,10 +55,16 @@
     }
   }
 
-  /** Finished keys kept for the next outcome record; more are dropped while the store is out. */
+  /**
+   * Maximum number of finished keys kept for the next outcome record; while the store is
+   * unavailable, further ones are dropped.
+   */
   private static final int MAX_UNRECORDED = 200_000;
 
-  /** Lower than any attempt: whoever joined a withdrawn run asks anew. */
+  /**
+   * Lower than the number of any attempt, so that requests that joined a withdrawn run may begin
+   * again.
+   */
   private static final int NO_ATTEMPT = -1;
 
   private final Clocks clocks;
@@ -72,9 +78,9 @@
   }
 
   /**
-   * Asks what to do with a request under a key.
+   * Decides what to do with a request under a key.
    *
-   * @param attempt number of the attempt; after a refusal only a later one may run
+   * @param attempt number of the attempt; after a rejection only a later attempt may run
    */
   public Admission begin(String key, String fingerprint, long retentionSeconds, int attempt) {
     long expires = clocks.nanos() + TimeUnit.SECONDS.toNanos(retentionSeconds);
@@ -91,21 +97,21 @@
       return new Admission.Join(run);
     }
     KeyOutcome outcome = run.join();
-    if (!(outcome instanceof KeyOutcome.NotExecuted refused && refused.permits(attempt))) {
+    if (!(outcome instanceof KeyOutcome.NotExecuted rejected && rejected.permits(attempt))) {
       return new Admission.Known(outcome);
     }
     CompletableFuture<KeyOutcome> next = new CompletableFuture<>();
-    // Exactly one of several retries wins the swap; the others join its run.
+    // Exactly one of several concurrent retries wins the swap; the others join its run.
     return entry.run.compareAndSet(run, next)
         ? new Admission.Execute()
         : new Admission.Join(entry.run.get());
   }
 
-  /** Ends the run that {@link #begin} allowed. */
+  /** Finishes the run that {@link #begin} allowed. */
   public void finish(String key, KeyOutcome outcome) {
     Entry entry = entries.get(key);
     if (entry == null) {
-      throw new IllegalStateException("finish without begin for key " + key);
+      throw new IllegalStateException("finish was called without begin for key " + key);
     }
     if (unrecordedSize.get() < MAX_UNRECORDED) {
       unrecorded.add(new Finished(key, entry.fingerprint, outcome));
@@ -114,7 +120,9 @@
     entry.run.get().complete(outcome);
   }
 
-  /** Ends a run of a key that another incarnation turned out to hold; it leaves no record here. */
+  /**
+   * Removes the run of a key that another incarnation turned out to hold; it leaves no record here.
+   */
   public void withdraw(String key) {
     Entry entry = entries.remove(key);
     if (entry != null) {
@@ -122,7 +130,7 @@
     }
   }
 
-  /** What is known of a key here. */
+  /** Returns the outcome of a key as known here, if any. */
   public Optional<KeyOutcome> outcome(String key) {
     Entry entry = entries.get(key);
     return entry == null
@@ -130,7 +138,7 @@
         : Optional.of(entry.run.get().getNow(new KeyOutcome.Running()));
   }
 
-  /** Takes finished keys that no record holds yet, at most some. */
+  /** Removes and returns finished keys that are in no record yet, up to a limit. */
   public List<Finished> pollUnrecorded(int limit) {
     List<Finished> taken = new ArrayList<>();
     for (int i = 0; i < limit; i++) {
@@ -144,24 +152,24 @@
     return taken;
   }
 
-  /** Puts back what could not be recorded. */
+  /** Puts back finished keys that could not be recorded. */
   public void requeue(List<Finished> taken) {
     unrecorded.addAll(taken);
     unrecordedSize.addAndGet(taken.size());
   }
 
-  /** Forgets finished keys past their retention; called now and then. */
+  /** Removes finished keys past their retention; called periodically. */
   public void expire() {
     long now = clocks.nanos();
     entries.values().removeIf(entry -> now - entry.expiresNanos > 0 && entry.run.get().isDone());
   }
 
-  /** Keys held. */
+  /** Returns the number of keys. */
   public int size() {
     return entries.size();
   }
 
-  /** Keys at work now. */
+  /** Returns the number of keys that are being executed. */
   public long running() {
     return entries.values().stream().filter(entry -> !entry.run.get().isDone()).count();
   }
--- a/core/src/main/java/org/magnoliaswitch/core/process/OutcomeRecords.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/OutcomeRecords.java
@@ -16,12 +16,12 @@
 import org.magnoliaswitch.core.version.Json;
 
 /**
- * Outcomes in the object store, for the time when their incarnation is gone.
+ * Outcomes in the object store, which other instances read after their incarnation is gone.
  *
- * <p>Each incarnation appends numbered segments, one write for all keys finished since the last.
- * They are named by incarnation, so expiry by age is the object store's own life-cycle rule and
- * needs no writes of ours. A last segment, written on an orderly stop, says that nothing else was
- * or will be executed by the incarnation.
+ * <p>Each incarnation appends numbered segments, with one write for all keys finished since the
+ * previous segment. They are named by incarnation, so the object store's own life-cycle rule can
+ * expire them by age without further writes. A final segment, written on an orderly stop, states
+ * that the incarnation executed nothing else and never will.
  */
 public final class OutcomeRecords {
   private static final int MAX_PER_SEGMENT = 5_000;
@@ -30,10 +30,11 @@
   private static final String FINAL_SEGMENT = "last";
 
   /**
-   * What the records of an incarnation say of a key.
+   * Result of looking a key up in the records of an incarnation.
    *
-   * @param finished the key's record, if there is one
-   * @param complete whether the incarnation stopped in order, so that absence means not executed
+   * @param finished record of the key, if there is one
+   * @param complete whether the incarnation stopped orderly, so that a key without a record was not
+   *     executed
    */
   public record Lookup(Optional<OutcomeLedger.Finished> finished, boolean complete) {}
 
@@ -62,7 +63,7 @@
     this.clocks = clocks;
   }
 
-  /** Writes what the ledger finished since the last segment; returns how many keys. */
+  /** Writes a segment of the keys finished since the previous one; returns the number of keys. */
   public synchronized int flush(OutcomeLedger ledger) throws PlatformException {
     List<OutcomeLedger.Finished> finished = ledger.pollUnrecorded(MAX_PER_SEGMENT);
     if (finished.isEmpty()) {
@@ -78,7 +79,7 @@
     }
   }
 
-  /** Writes all that is left and the mark that nothing follows. */
+  /** Writes the remaining keys and the final segment, after which nothing follows. */
   public synchronized void close(OutcomeLedger ledger) throws PlatformException {
     int flushed = flush(ledger);
     while (flushed > 0) {
@@ -87,34 +88,35 @@
     objects.put(name(incarnation, FINAL_SEGMENT), encode(List.of()));
   }
 
-  /** Segments written so far. */
+  /** Returns the number of segments written so far. */
   public int segments() {
     return written.get();
   }
 
-  /** Reads the records of another incarnation, which is gone. */
-  public synchronized Lookup lookup(String gone, String key) throws PlatformException {
-    CachedIncarnation cached = cache.computeIfAbsent(gone, i -> new CachedIncarnation());
+  /** Looks a key up in the records of another incarnation, which is gone. */
+  public synchronized Lookup lookup(String goneIncarnation, String key) throws PlatformException {
+    CachedIncarnation cached = cache.computeIfAbsent(goneIncarnation, i -> new CachedIncarnation());
     long now = clocks.nanos();
     boolean due = cached.readNanos == 0 || now - cached.readNanos > REFRESH_NANOS;
     if (!cached.complete && due) {
-      read(gone, cached);
+      read(goneIncarnation, cached);
       cached.readNanos = now;
     }
     return new Lookup(Optional.ofNullable(cached.byKey.get(key)), cached.complete);
   }
 
-  private void read(String gone, CachedIncarnation cached) throws PlatformException {
-    boolean last = objects.get(name(gone, FINAL_SEGMENT)).isPresent();
-    Optional<byte[]> segment = objects.get(name(gone, String.valueOf(cached.nextSegment)));
+  private void read(String goneIncarnation, CachedIncarnation cached) throws PlatformException {
+    boolean closed = objects.get(name(goneIncarnation, FINAL_SEGMENT)).isPresent();
+    Optional<byte[]> segment =
+        objects.get(name(goneIncarnation, String.valueOf(cached.nextSegment)));
     while (segment.isPresent()) {
       for (OutcomeLedger.Finished finished : decode(segment.get())) {
         cached.byKey.put(finished.key(), finished);
       }
       cached.nextSegment++;
-      segment = objects.get(name(gone, String.valueOf(cached.nextSegment)));
+      segment = objects.get(name(goneIncarnation, String.valueOf(cached.nextSegment)));
     }
-    cached.complete = last;
+    cached.complete = closed;
   }
 
   private static String name(String incarnation, String segment) {
@@ -127,7 +129,7 @@
       finished.forEach(entry -> bounded.add(withoutLargeBody(entry)));
       return Json.MAPPER.writeValueAsBytes(bounded);
     } catch (IOException e) {
-      throw new IllegalStateException("outcomes are always writable as JSON", e);
+      throw new IllegalStateException("outcomes cannot be written as JSON", e);
     }
   }
 
@@ -145,7 +147,7 @@
     try {
       return Json.MAPPER.readValue(segment, new TypeReference<List<OutcomeLedger.Finished>>() {});
     } catch (IOException e) {
-      throw new PlatformException("unreadable outcome segment", e);
+      throw new PlatformException("an outcome segment cannot be read as JSON", e);
     }
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/Pause.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Pause.java
@@ -1,21 +1,21 @@
 package org.magnoliaswitch.core.process;
 
 /**
- * The time for which a server has asked this instance to send it nothing.
+ * A pause, in which a server has asked this instance to send it no requests.
  *
- * @param untilNanos monotonic end
- * @param asked whether it has ever asked for one
+ * @param untilNanos monotonic end of the pause
+ * @param requested whether the server has ever requested a pause
  */
 public record Pause(long untilNanos, boolean requested) {
-  /** Never asked for. */
+  /** No pause was ever requested. */
   public static final Pause NONE = new Pause(0, false);
 
-  /** Whether the pause is in force. */
+  /** Returns whether the pause is in force. */
   public boolean active(long nowNanos) {
     return requested && untilNanos - nowNanos > 0;
   }
 
-  /** This pause, or one that begins now if that ends later. */
+  /** Returns this pause, or one with the given end if that is later. */
   public Pause extendedTo(long nextUntilNanos) {
     return !requested || nextUntilNanos - untilNanos > 0 ? new Pause(nextUntilNanos, true) : this;
   }
--- a/core/src/main/java/org/magnoliaswitch/core/process/Platform.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Platform.java
@@ -5,10 +5,10 @@
 import org.magnoliaswitch.core.platform.PlatformTable;
 
 /**
- * The platform's services as this process reaches them.
+ * Clients of the platform's services.
  *
  * @param table transactional table
  * @param objects object store
- * @param instances lagging list of machines
+ * @param instances list of machines, which may lag
  */
 public record Platform(PlatformTable table, ObjectStore objects, InstanceList instances) {}
--- a/core/src/main/java/org/magnoliaswitch/core/process/Prober.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Prober.java
@@ -16,12 +16,13 @@
 import org.magnoliaswitch.core.version.ServerState;
 
 /**
- * Asks servers that were not heard of lately for their load, within the measuring budget.
+ * Requests load reports from servers without recent contact, within the measuring budget.
  *
- * <p>Reports ride on every response, so probes are for quiet servers, ejected ones and those said
- * to leave. Each instance sends a server at most one probe per window, whose length follows from
- * the declared bound on instances; the budget over all instances then holds without any knowledge
- * of the others. Should more instances be seen than declared, the window grows with them.
+ * <p>Every response carries a report, so probes are for servers without requests, ejected servers
+ * and servers said to be leaving. Each instance sends a server at most one probe per window, whose
+ * length follows from the declared maximum number of instances; the budget of all instances
+ * together therefore holds without any knowledge of the others. If more instances are seen than
+ * declared, the window grows with their number.
  */
 public final class Prober {
   /** Path of the load endpoint of backend servers. */
@@ -29,7 +30,7 @@
 
   private static final int TIMEOUT_MILLIS = 200;
 
-  /** A server heard of within this time needs no probe. */
+  /** A server with a contact within this time needs no probe. */
   private static final long RECENT_CONTACT_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   private final ServiceRegistry registry;
@@ -41,16 +42,16 @@
   private final AtomicLong probesSent = new AtomicLong();
 
   public Prober(
-      ServiceRegistry registry, ControlState control, Clocks clocks, Runnable leavingNews) {
+      ServiceRegistry registry, ControlState control, Clocks clocks, Runnable onLeavingChange) {
     this.registry = registry;
     this.membership = control.membership();
     this.leaving = control.leaving();
     this.timeline = control.timeline();
     this.clocks = clocks;
-    this.onLeavingChange = leavingNews;
+    this.onLeavingChange = onLeavingChange;
   }
 
-  /** Probes the servers that are due; called many times a second. */
+  /** Probes the servers that are due; called many times per second. */
   public void probeDueServers() {
     int instances = membership.size();
     Collection<ServiceState> services = registry.state().services().values();
@@ -66,25 +67,29 @@
     }
   }
 
-  /** Probes sent so far. */
+  /** Returns the number of probes sent so far. */
   public long probesSent() {
     return probesSent.get();
   }
 
-  /** Least time between two probes of one server by this instance. */
+  /** Returns the minimum time between two probes of a server by this instance. */
   static long windowNanos(MeasuringBudget budget, int instances) {
     double factor = Math.max(1.0, (double) instances / budget.maxInstances());
     return (long) (TimeUnit.MILLISECONDS.toNanos(budget.windowMillis()) * factor);
   }
 
-  /** A server that is full or has asked for a pause gets no probe: that would take capacity. */
+  /**
+   * Returns whether a server needs a probe. A server that is full or has requested a pause gets
+   * none, since a probe would use its capacity.
+   */
   private static boolean needsProbe(ServerHandle handle, long now, long window) {
     ServerLoad load = handle.load();
-    boolean quiet = now - load.lastContactNanos() > Math.min(RECENT_CONTACT_NANOS, window);
+    boolean noRecentContact =
+        now - load.lastContactNanos() > Math.min(RECENT_CONTACT_NANOS, window);
     LoadReport last = load.lastReport().report();
     boolean full = load.inFlight() > 0 && last.requests() >= last.slots();
     return handle.server().state() == ServerState.ACTIVE
-        && quiet
+        && noRecentContact
         && !full
         && !load.pause().active(now);
   }
@@ -93,11 +98,11 @@
     probesSent.incrementAndGet();
     try {
       BackendConnection connection = handle.pool().take(Long.MAX_VALUE, TIMEOUT_MILLIS);
-      boolean whole = false;
+      boolean complete = false;
       try {
-        whole = exchange(service, handle, connection);
+        complete = exchange(service, handle, connection);
       } finally {
-        if (whole) {
+        if (complete) {
           handle.pool().giveBack(connection);
         } else {
           handle.pool().discard(connection);
@@ -121,24 +126,24 @@
     }
     Header header = response.getFirstHeader(LoadReport.HEADER);
     if (response.getCode() == HttpStatus.SC_OK && header != null && header.getValue() != null) {
-      LoadReport.parse(header.getValue()).ifPresent(told -> take(service, handle, told));
+      LoadReport.parse(header.getValue()).ifPresent(report -> applyReport(service, handle, report));
     }
     return true;
   }
 
-  private void take(ServiceState service, ServerHandle handle, LoadReport told) {
-    handle.load().recordReport(told, clocks.nanos());
-    boolean news =
-        told.draining()
+  private void applyReport(ServiceState service, ServerHandle handle, LoadReport report) {
+    handle.load().recordReport(report, clocks.nanos());
+    boolean changed =
+        report.draining()
             ? leaving.markLeaving(handle.id(), LeavingMark.Sign.REPORT)
             : leaving.markReturned(handle.id(), LeavingMark.Sign.REPORT);
-    if (news) {
+    if (changed) {
       timeline.record(
           EventKind.SERVER_LEAVING,
           "",
           service.service().name(),
           handle.id(),
-          "sign=probe leaving=" + told.draining());
+          "sign=probe leaving=" + report.draining());
       onLeavingChange.run();
     }
   }
--- a/core/src/main/java/org/magnoliaswitch/core/process/RequestCrashes.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/RequestCrashes.java
@@ -14,16 +14,16 @@
 import org.magnoliaswitch.core.crash.Verdict;
 
 /**
- * What one request may do while servers end under requests, and what it did to them; safe for
- * several threads.
+ * Decides how one request may be sent in view of crash reports, and reports the crashes and answers
+ * that it meets. Thread-safe.
  *
- * <p>It is judged twice: by what it asks for, since the same request may come from several
- * addresses, and by that together with its caller, since others may ask for the same and be
- * answered. Whichever is worse holds. While nothing is known of any request, nothing is hashed or
- * looked up.
+ * <p>A request is judged under two identities: by its content, since the same request may come from
+ * several addresses, and by its content together with its caller, since other callers may send the
+ * same content and be answered. The stricter verdict applies. While there are no crash reports,
+ * nothing is hashed or looked up.
  */
 public final class RequestCrashes {
-  /** Ends from which a request gets no further send of the same try. */
+  /** With this number of suspected crashes, the request gets no further attempt. */
   private static final int CRASHES_WITHOUT_RETRY = 2;
 
   private final CrashWatch watch;
@@ -35,13 +35,13 @@
   private volatile @Nullable Long trialPendingSinceNanos;
 
   /**
-   * What a request is.
+   * The identities under which a request is judged.
    *
-   * @param content what it asks for
-   * @param ofCaller the same, of this caller
+   * @param content identity of the content
+   * @param callerSpecific identity of the content together with the caller
    */
   public record Identities(RequestIdentity content, RequestIdentity callerSpecific) {
-    /** What it asks for, by itself and of one caller. */
+    /** Returns the identities of a content sent by a caller. */
     public static Identities of(RequestIdentity content, String caller) {
       return new Identities(content, content.forCaller(caller));
     }
@@ -52,21 +52,21 @@
   }
 
   /**
-   * Creates one for a request.
+   * Creates the state of a request.
    *
-   * @param trialNoticeNanos how long a suspect waits for news of other instances' trials before it
-   *     goes to a server itself; 0 where requests cannot wait
-   * @param identify tells what the request is; called when that matters, perhaps never
+   * @param trialDelayNanos how long a suspect request waits for reports of other instances' trials
+   *     before its own trial; 0 where requests cannot wait
+   * @param identify computes the identities; called only if they are needed
    */
   public RequestCrashes(
-      CrashWatch watch, Clocks clocks, long trialNoticeNanos, Supplier<Identities> identify) {
+      CrashWatch watch, Clocks clocks, long trialDelayNanos, Supplier<Identities> identify) {
     this.watch = watch;
     this.clocks = clocks;
-    this.trialDelayNanos = trialNoticeNanos;
+    this.trialDelayNanos = trialDelayNanos;
     this.identify = identify;
   }
 
-  /** What the request is. */
+  /** Returns the identities of the request. */
   public Identities identities() {
     Identities known = identities;
     if (known == null) {
@@ -76,7 +76,7 @@
     return known;
   }
 
-  /** What may be done with the request now. */
+  /** Returns what may be done with the request now. */
   public Verdict verdict() {
     if (watch.isEmpty()) {
       return Verdict.ALLOWED;
@@ -90,9 +90,9 @@
   }
 
   /**
-   * Whether there was time to hear of trials that began elsewhere. A caller that comes back at once
-   * reaches the next instance sooner than the news of its last try, and each instance would risk a
-   * server of its own.
+   * Returns whether there was enough time to receive reports of trials that began elsewhere. A
+   * caller that retries at once reaches the next instance before the report of its previous trial
+   * does, and each instance would risk a server of its own.
    */
   private boolean trialDelayElapsed() {
     long now = clocks.nanos();
@@ -104,7 +104,10 @@
     return now - since >= trialDelayNanos;
   }
 
-  /** Asked right before the request is written; a trial that is granted is told to all. */
+  /**
+   * Returns the verdict right before the request is written; a trial that is granted is reported to
+   * all instances.
+   */
   public Verdict admit() {
     Verdict verdict = verdict();
     if (verdict == Verdict.TRIAL) {
@@ -116,11 +119,12 @@
   }
 
   /**
-   * Whether sends of the request that are under way should be stopped. Many callers may ask for the
-   * same at a time, and an answer to one of them clears it; so what is only suspect is stopped for
-   * one caller alone.
+   * Returns whether the attempts in progress must be cancelled. Many callers may send the same
+   * content at a time, and an answer to one of them clears it; a request that is only suspect is
+   * therefore cancelled only if it is suspect together with its caller.
    *
-   * @param trial whether one of them is the trial that shows whether it is the cause
+   * @param trial whether one of the attempts is the trial that shows whether the request is the
+   *     cause
    */
   public boolean mustCancelAttempts(boolean trial) {
     if (watch.isEmpty()) {
@@ -132,7 +136,7 @@
     return confirmed || (suspect && !trial);
   }
 
-  /** Time after which a caller that is turned away may find the request let through. */
+  /** Returns the time after which the request of a rejected caller may be admitted. */
   public long retryAfterNanos() {
     CrashTable table = watch.table();
     long now = clocks.nanos();
@@ -143,28 +147,30 @@
   }
 
   /**
-   * A connection to a server ended under the request; whether the server did is being looked at.
+   * Records that a connection to a server ended while it served the request; a connect check
+   * follows, which shows whether the server crashed.
    */
   public void mayHaveCrashed(String server) {
     unconfirmedCrashes.add(server);
   }
 
   /**
-   * It has been looked at.
+   * Records the result of the connect check.
    *
-   * @param warned whether the request was known for suspect when it was sent
+   * @param crashed whether the server crashed
+   * @param warned whether the request was known as suspect when it was sent
    */
-  public void recordConnectCheck(String server, boolean ended, boolean warned) {
+  public void recordConnectCheck(String server, boolean crashed, boolean warned) {
     unconfirmedCrashes.remove(server);
-    if (ended) {
+    if (crashed) {
       watch.recordCrash(identities().both(), server, warned);
     }
   }
 
   /**
-   * A server has run the request and answered.
+   * Records that a server has answered the request.
    *
-   * @param sentNanos when it was sent there
+   * @param sentNanos when the request was sent to the server
    */
   public void recordAnswer(String server, long sentNanos) {
     if (!watch.isEmpty()) {
@@ -172,27 +178,30 @@
     }
   }
 
-  /** Whether a further send of this try may follow one that broke or brought a failure. */
+  /** Returns whether a further attempt may follow one that broke or returned a failure. */
   public boolean mayRetry() {
     return suspectedCrashes() < CRASHES_WITHOUT_RETRY;
   }
 
   /**
-   * Whether a second server may get the request while a first one has it. Once a server has ended
-   * under it, that would put two at risk at a time.
+   * Returns whether a second server may get the request while a first one has it. Once a server may
+   * have crashed while serving it, this would put two servers at risk at a time.
    */
   public boolean mayHedge() {
     return suspectedCrashes() == 0;
   }
 
-  /** Servers that ended under the request, and those of this try that perhaps did. */
+  /**
+   * Counts the servers that crashed while serving the request, including those whose connect check
+   * is pending.
+   */
   private int suspectedCrashes() {
-    Set<String> all = new HashSet<>(unconfirmedCrashes);
+    Set<String> servers = new HashSet<>(unconfirmedCrashes);
     if (!watch.isEmpty()) {
       identities()
           .both()
-          .forEach(identity -> all.addAll(watch.table().serversCrashedDuring(identity)));
+          .forEach(identity -> servers.addAll(watch.table().serversCrashedDuring(identity)));
     }
-    return all.size();
+    return servers.size();
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/RetryAfterHeader.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/RetryAfterHeader.java
@@ -5,7 +5,7 @@
 import java.util.regex.Pattern;
 import org.jspecify.annotations.Nullable;
 
-/** Reads the header by which a server asks for a pause of some seconds. */
+/** Reads the header with which a server requests a pause of some seconds. */
 public final class RetryAfterHeader {
   /** Name of the header. */
   public static final String NAME = "Retry-After";
@@ -16,8 +16,8 @@
   private RetryAfterHeader() {}
 
   /**
-   * The time that a value names, in nanoseconds; nothing if there is none, or if it is no number of
-   * seconds: a date says nothing to a process that keeps to the monotonic clock.
+   * Returns the duration in nanoseconds, or empty if the value is absent or not a number of
+   * seconds: a date is of no use to a process that relies on the monotonic clock.
    */
   public static OptionalLong nanos(@Nullable String value) {
     return value != null && SECONDS.matcher(value.strip()).matches()
--- a/core/src/main/java/org/magnoliaswitch/core/process/RetryBudget.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/RetryBudget.java
@@ -5,8 +5,8 @@
 /**
  * Tokens for further attempts, earned by first attempts.
  *
- * <p>In the long run further attempts stay below the declared ratio, so retries cannot multiply an
- * overload; a small reserve lets a quiet service retry at all.
+ * <p>In the long run the further attempts stay below the declared ratio, so retries cannot amplify
+ * an overload; a small reserve allows retries of a service with few requests.
  */
 public final class RetryBudget {
   private static final long TOKEN = 1_000;
@@ -14,13 +14,13 @@
 
   private final AtomicLong tokens = new AtomicLong(RESERVE);
 
-  /** Earns the share of a token that one first attempt brings. */
+  /** Adds the fraction of a token that one first attempt earns. */
   public void earn(double ratio) {
-    long share = (long) (ratio * TOKEN);
-    tokens.accumulateAndGet(share, (before, more) -> Math.min(RESERVE * 4, before + more));
+    long earned = (long) (ratio * TOKEN);
+    tokens.accumulateAndGet(earned, (before, added) -> Math.min(RESERVE * 4, before + added));
   }
 
-  /** Takes one token, if there is one. */
+  /** Takes one token if there is one; returns whether it did. */
   public boolean trySpend() {
     long before = tokens.get();
     while (before >= TOKEN) {
--- a/core/src/main/java/org/magnoliaswitch/core/process/ServerHandle.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ServerHandle.java
@@ -4,14 +4,14 @@
 import org.magnoliaswitch.core.version.BackendServer;
 
 /**
- * A backend server with what this instance keeps for it across versions.
+ * A backend server with the state that this instance keeps for it across versions.
  *
- * @param server its declaration
- * @param load what this instance knows of its load
- * @param pool connections to it
+ * @param server declaration of the server
+ * @param load observed load of the server
+ * @param pool connections to the server
  */
 public record ServerHandle(BackendServer server, ServerLoad load, ConnectionPool pool) {
-  /** Id of the server. */
+  /** Returns the id of the server. */
   public String id() {
     return server.id();
   }
--- a/core/src/main/java/org/magnoliaswitch/core/process/ServerLoad.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ServerLoad.java
@@ -6,10 +6,11 @@
 import org.magnoliaswitch.core.version.BackendServer;
 
 /**
- * What this instance knows of one backend server, updated without locks.
+ * The load of one backend server as observed by this instance, updated without locks.
  *
- * <p>First-hand signs (own latency, own failures) are kept apart from the server's reports, since
- * reports lag or mislead and are overruled by what this instance's own requests met.
+ * <p>First-hand observations (latencies and failures of own requests) are kept apart from the
+ * server's reports, since reports may lag or mislead and are overridden by the results of own
+ * requests.
  */
 public final class ServerLoad {
   /** Weight of one sample in the moving averages. */
@@ -18,20 +19,20 @@
   private static final double NANOS_PER_MILLI = 1e6;
 
   /**
-   * The last report and what this instance had in flight when it arrived.
+   * The last report and the number of own requests in flight when it arrived.
    *
-   * @param report what the server said
+   * @param report report of the server
    * @param atNanos when it arrived
-   * @param ownInFlight requests of this instance in flight then
+   * @param ownInFlight requests of this instance in flight at that time
    */
   public record TimedReport(LoadReport report, long atNanos, int ownInFlight) {}
 
   /**
    * Averages of recent own exchanges.
    *
-   * @param latencyMillis moving average of the latency of whole answers
-   * @param failureShare moving average of failures, refusals included, 0 to 1
-   * @param samples number of exchanges seen
+   * @param latencyMillis moving average of the latency of complete answers
+   * @param failureShare moving average of failures, including rejections, from 0 to 1
+   * @param samples number of exchanges
    */
   public record Averages(double latencyMillis, double failureShare, long samples) {}
 
@@ -59,14 +60,14 @@
     inFlight.incrementAndGet();
   }
 
-  /** Counts the end of a request whose answer was whole. */
+  /** Records the end of a request with a complete answer. */
   public void recordSuccess(long latencyNanos, long nowNanos) {
     inFlight.decrementAndGet();
     lastContactNanos.set(nowNanos);
     averages.updateAndGet(before -> withSample(before, latencyNanos / NANOS_PER_MILLI));
   }
 
-  /** Counts the end of a request that failed or was refused. */
+  /** Records the end of a request that failed or was rejected. */
   public void recordFailure() {
     inFlight.decrementAndGet();
     averages.updateAndGet(
@@ -77,12 +78,12 @@
                 before.samples() + 1));
   }
 
-  /** Counts the end of a request that was given up without fault of the server. */
+  /** Records the end of a request that was abandoned through no fault of the server. */
   public void recordAbandoned() {
     inFlight.decrementAndGet();
   }
 
-  /** Notes that a request takes longer than the average, before it has ended. */
+  /** Records, before a request has ended, that it takes longer than the average. */
   public void recordSlow(long elapsedNanos) {
     double elapsedMillis = elapsedNanos / NANOS_PER_MILLI;
     averages.updateAndGet(
@@ -90,70 +91,70 @@
             elapsedMillis > before.latencyMillis() ? withLatency(before, elapsedMillis) : before);
   }
 
-  /** Takes a report that rode on a response or answered a probe. */
+  /** Records a report from a response or from a probe. */
   public void recordReport(LoadReport report, long nowNanos) {
     lastReport.set(new TimedReport(report, nowNanos, inFlight.get()));
     lastContactNanos.set(nowNanos);
   }
 
-  /** Reserves the right to send one probe when none was sent within the window. */
+  /** Reserves a probe if none was sent within the window; returns whether it may be sent. */
   public boolean tryClaimProbe(long nowNanos, long windowNanos) {
     long before = lastProbeNanos.get();
     boolean due = before == Long.MIN_VALUE || nowNanos - before >= windowNanos;
     return due && lastProbeNanos.compareAndSet(before, nowNanos);
   }
 
-  /** Sets how long the server gets no ordinary requests. */
+  /** Sets the period in which the server gets no ordinary requests. */
   public void eject(Ejection next) {
     ejection.set(next);
   }
 
-  /** The ejection in force or last in force. */
+  /** Returns the ejection in force or last in force. */
   public Ejection ejection() {
     return ejection.get();
   }
 
-  /** The server asks for a pause; the one that ends last counts. */
+  /** Records that the server requests a pause; the pause that ends last applies. */
   public void extendPause(long forNanos, long nowNanos) {
     pause.updateAndGet(before -> before.extendedTo(nowNanos + forNanos));
   }
 
-  /** The pause in force or last in force. */
+  /** Returns the pause in force or last in force. */
   public Pause pause() {
     return pause.get();
   }
 
-  /** Requests of this instance now at the server. */
+  /** Returns the number of requests of this instance that are at the server. */
   public int inFlight() {
     return inFlight.get();
   }
 
-  /** The last report. */
+  /** Returns the last report. */
   public TimedReport lastReport() {
     return lastReport.get();
   }
 
-  /** Averages of recent own exchanges. */
+  /** Returns the averages of recent own exchanges. */
   public Averages averages() {
     return averages.get();
   }
 
-  /** Forgets failures, so that a restored server is judged by what it does next. */
+  /** Discards the failures, so that a restored server is judged by its next exchanges. */
   public void resetFailures() {
     averages.updateAndGet(before -> new Averages(before.latencyMillis(), 0, 0));
   }
 
-  /** When the server was last heard of. */
+  /** Returns when the server last reported its load or answered a request. */
   public long lastContactNanos() {
     return lastContactNanos.get();
   }
 
-  /** When this instance first knew the server. */
+  /** Returns when the server became known to this instance. */
   public long createdNanos() {
     return createdNanos;
   }
 
-  /** Id of the server. */
+  /** Returns the id of the server. */
   public String serverId() {
     return serverId;
   }
--- a/core/src/main/java/org/magnoliaswitch/core/process/ServiceAdmission.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ServiceAdmission.java
@@ -12,30 +12,30 @@
 import org.magnoliaswitch.core.version.RequestKind;
 
 /**
- * Bounds the requests of one service that this instance has at backend servers at once.
+ * Bounds the concurrent requests of this instance to the backend servers of one service.
  *
- * <p>The bound follows the load that the servers report, additive up and multiplicative down, so
- * the instances share the servers' slots without talking to each other (Chiu and Jain, 1989).
- * Requests beyond it wait, each kind in a queue of its own; freed room goes to the kinds in
- * proportion to their harm weights (stride scheduling, Waldspurger 1995), so that none starves. A
- * request whose expected wait exceeds what its deadline leaves is refused at once instead of being
- * kept.
+ * <p>The bound, called the window, follows the load that the servers report, with additive increase
+ * and multiplicative decrease, so that the instances share the servers' slots without communication
+ * (Chiu and Jain, 1989). Requests beyond it wait, each kind in a queue of its own; freed capacity
+ * goes to the kinds in proportion to their harm weights (stride scheduling, Waldspurger 1995), so
+ * that none starves. A request whose expected wait exceeds the time left until its deadline is
+ * rejected at once instead of being queued.
  */
 public final class ServiceAdmission {
-  /** Longest wait; keeps the queue short enough to empty within a second after overload. */
+  /** Maximum wait; keeps the queue short enough to drain within a second after an overload. */
   private static final long MAX_WAIT_NANOS = 400_000_000L;
 
   private static final double INCREASE = 0.6;
   private static final double DECREASE = 0.03;
 
-  /** Share of the window up to which attempts that need not be are made. */
+  /** Share of the window up to which optional attempts, such as hedges, are admitted. */
   private static final double SPARE_WINDOW_SHARE = 0.75;
 
   private static final double MIN_WINDOW = 1.0;
   private static final double GRANT_INTERVAL_WEIGHT = 0.05;
   private static final long PARK_MARGIN_NANOS = 1_000_000L;
 
-  /** What came of asking for room. */
+  /** Result of a request for capacity. */
   public enum Verdict {
     ADMITTED,
     /** The wait would have exceeded the deadline, or did. */
@@ -55,7 +55,7 @@
     private final AtomicReference<WaiterState> state = new AtomicReference<>(WaiterState.WAITING);
   }
 
-  /** Queue of one kind; {@code pass} orders the kinds for freed room. */
+  /** Queue of one kind; freed capacity goes to the queue with the lowest {@code pass}. */
   private static final class KindQueue {
     private final double weight;
     private final ConcurrentLinkedQueue<Waiter> waiters = new ConcurrentLinkedQueue<>();
@@ -91,16 +91,16 @@
     }
   }
 
-  /** Largest window that makes sense: all slots of all servers, each with its wanted load. */
-  public void limitWindow(double most) {
-    maxWindow.set(Math.max(MIN_WINDOW, most));
+  /** Sets the largest useful window: all slots of all servers, each with its target load. */
+  public void limitWindow(double maximum) {
+    maxWindow.set(Math.max(MIN_WINDOW, maximum));
   }
 
   /**
-   * Waits for room.
+   * Waits for capacity.
    *
-   * @param kind the request's kind
-   * @param latestNanos monotonic time after which sending is of no use
+   * @param kind kind of the request
+   * @param latestNanos monotonic time after which it is useless to send the request
    */
   public Verdict admit(RequestKind kind, long latestNanos) {
     if (waiting.get() == 0 && tryAcquire()) {
@@ -111,25 +111,25 @@
     }
     KindQueue queue = queues.get(kinds.indexOf(kind));
     long now = clocks.nanos();
-    long latest = Math.min(latestNanos, now + MAX_WAIT_NANOS);
-    if (now + expectedWaitNanos(queue) > latest) {
+    long deadline = Math.min(latestNanos, now + MAX_WAIT_NANOS);
+    if (now + expectedWaitNanos(queue) > deadline) {
       return Verdict.TOO_LATE;
     }
-    return await(queue, latest);
+    return await(queue, deadline);
   }
 
-  private Verdict await(KindQueue queue, long latest) {
+  private Verdict await(KindQueue queue, long deadline) {
     Waiter waiter = new Waiter();
     if (queue.length.getAndIncrement() == 0) {
       advancePass(queue);
     }
     waiting.incrementAndGet();
     queue.waiters.add(waiter);
-    // Room may have been freed between the first look and the enqueueing.
+    // Capacity may have been freed between the first check and the enqueueing.
     grantFreeCapacity();
     while (waiter.state.get() == WaiterState.WAITING) {
-      long left = latest - clocks.nanos();
-      if (left <= 0) {
+      long remaining = deadline - clocks.nanos();
+      if (remaining <= 0) {
         if (waiter.state.compareAndSet(WaiterState.WAITING, WaiterState.GIVEN_UP)) {
           removeFromCount(queue);
           queue.waiters.remove(waiter);
@@ -137,16 +137,16 @@
         }
         break;
       }
-      LockSupport.parkNanos(this, left + PARK_MARGIN_NANOS);
+      LockSupport.parkNanos(this, remaining + PARK_MARGIN_NANOS);
     }
     return Verdict.ADMITTED;
   }
 
   /**
-   * Takes room for a further attempt that need not be, such as a hedge; never waits.
+   * Acquires capacity for an optional further attempt, such as a hedge; never waits.
    *
-   * <p>Hedges add load. Near saturation they would take the room that first attempts wait for, and
-   * lengthen the very queues they are meant to pass by.
+   * <p>Hedges add load. Near saturation they would take the capacity that first attempts wait for,
+   * and lengthen the very queues that they are meant to bypass.
    */
   public boolean tryAcquireSpare() {
     return waiting.get() == 0
@@ -154,7 +154,7 @@
         && tryAcquire();
   }
 
-  /** Gives back the room of an admitted request. */
+  /** Releases the capacity of an admitted request. */
   public void release() {
     inFlight.decrementAndGet();
     grantFreeCapacity();
@@ -163,36 +163,38 @@
   /** Adapts the window to the load that a server reported. */
   public void recordReport(LoadReport report) {
     double load = (double) report.requests() / report.slots();
-    double wanted = policy.loadPerSlot();
-    if (load > wanted) {
-      double excess = Math.min(1, (load - wanted) / wanted);
+    double target = policy.loadPerSlot();
+    if (load > target) {
+      double excess = Math.min(1, (load - target) / target);
       window.updateAndGet(w -> Math.max(MIN_WINDOW, w * (1 - DECREASE * excess)));
     } else if (inFlight.get() + 1 >= window.get() * 0.5) {
       window.updateAndGet(w -> Math.min(maxWindow.get(), w + INCREASE / w));
     }
   }
 
-  /** Adapts the window to a refusal by a server that is too busy. */
+  /** Adapts the window to a rejection by a server that is too busy. */
   public void recordRejection() {
     window.updateAndGet(w -> Math.max(MIN_WINDOW, w * (1 - DECREASE)));
   }
 
-  /** Requests admitted and not yet released. */
+  /** Returns the number of requests admitted and not yet released. */
   public int inFlight() {
     return inFlight.get();
   }
 
-  /** Requests waiting. */
+  /** Returns the number of waiting requests. */
   public int waiting() {
     return waiting.get();
   }
 
-  /** The present bound on admitted requests. */
+  /** Returns the current bound on admitted requests. */
   public double window() {
     return window.get();
   }
 
-  /** When a refused caller should come back, in whole seconds, at least one. */
+  /**
+   * Returns the time after which a rejected caller should retry, in whole seconds, at least one.
+   */
   public int retryAfterSeconds() {
     double seconds = waiting.get() * grantIntervalNanos.get() / 1e9;
     return (int) Math.max(1, Math.ceil(seconds));
@@ -222,7 +224,7 @@
     for (KindQueue queue = nextQueue(); queue != null; queue = nextQueue()) {
       Waiter waiter = queue.waiters.poll();
       if (waiter == null) {
-        // Its length is counted before it is enqueued; it will look for room itself.
+        // A waiter is counted before it is enqueued; it then checks for capacity itself.
         return false;
       }
       if (waiter.state.compareAndSet(WaiterState.WAITING, WaiterState.ADMITTED)) {
@@ -238,15 +240,15 @@
   }
 
   private @org.jspecify.annotations.Nullable KindQueue nextQueue() {
-    KindQueue best = null;
+    KindQueue next = null;
     for (int i = 0; i < queues.length(); i++) {
       KindQueue queue = queues.get(i);
       boolean candidate = !queue.waiters.isEmpty();
-      if (candidate && (best == null || queue.pass.get() < best.pass.get())) {
-        best = queue;
+      if (candidate && (next == null || queue.pass.get() < next.pass.get())) {
+        next = queue;
       }
     }
-    return best;
+    return next;
   }
 
   private void removeFromCount(KindQueue queue) {
@@ -254,7 +256,10 @@
     waiting.decrementAndGet();
   }
 
-  /** A queue that was empty has saved no claim on room for the time it was. */
+  /**
+   * Advances the pass of a queue that was empty, so that it gains no claim to capacity for that
+   * time.
+   */
   private void advancePass(KindQueue queue) {
     double least = Double.MAX_VALUE;
     for (int i = 0; i < queues.length(); i++) {
--- a/core/src/main/java/org/magnoliaswitch/core/process/ServiceRegistry.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ServiceRegistry.java
@@ -17,12 +17,12 @@
 /**
  * The services in force, replaced as a whole by each version and each change of shares.
  *
- * <p>Requests read one immutable state and finish under it; handles of servers that stay keep their
- * load and connections.
+ * <p>A request reads one immutable state and finishes with it; the handles of servers that remain
+ * keep their load and connections.
  */
 public final class ServiceRegistry {
   /**
-   * What requests read.
+   * Immutable state that requests read.
    *
    * @param snapshot configuration in force
    * @param services state by service name
@@ -32,12 +32,12 @@
       services = Map.copyOf(services);
     }
 
-    /** The service that covers a path. */
+    /** Returns the service that covers a path. */
     public Optional<ServiceState> serviceOf(String path) {
       return snapshot.serviceOf(path).map(service -> services.get(service.name()));
     }
 
-    /** Handles of all servers of this instance's shares. */
+    /** Returns the handles of all servers of this instance's shares. */
     public Collection<ServerHandle> handles() {
       return services.values().stream().flatMap(s -> s.servers().stream()).toList();
     }
@@ -52,17 +52,17 @@
     this.clocks = clocks;
   }
 
-  /** The state in force. */
+  /** Returns the state in force. */
   public State state() {
     return state;
   }
 
-  /** Puts a snapshot in force. */
+  /** Puts a snapshot into force. */
   public synchronized void apply(Snapshot snapshot) {
     rebuild(snapshot);
   }
 
-  /** Shares servers anew when the number of instances has changed. */
+  /** Recomputes the shares; called when the number of instances has changed. */
   public synchronized void redistribute() {
     rebuild(state.snapshot());
   }
@@ -123,7 +123,7 @@
       List<BackendServer> share,
       Membership.Rank rank) {
     double slots = share.stream().mapToInt(BackendServer::slots).sum();
-    double most = slots * profile.admission().loadPerSlot();
+    double maxWindow = slots * profile.admission().loadPerSlot();
     boolean keep =
         old.isPresent()
             && old.get().profile().admission().equals(profile.admission())
@@ -132,8 +132,8 @@
         keep
             ? old.get().admission()
             : new ServiceAdmission(
-                profile.admission(), profile.kinds(), most / Math.max(1, rank.size()), clocks);
-    admission.limitWindow(most);
+                profile.admission(), profile.kinds(), maxWindow / Math.max(1, rank.size()), clocks);
+    admission.limitWindow(maxWindow);
     return admission;
   }
 
--- a/core/src/main/java/org/magnoliaswitch/core/process/ServiceState.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ServiceState.java
@@ -8,13 +8,13 @@
 import org.magnoliaswitch.core.version.Service;
 
 /**
- * A service in force with what this instance keeps for it.
+ * A service in force with the state that this instance keeps for it.
  *
- * @param service its declaration
- * @param profile the profile it picked
- * @param servers servers of this instance's share, draining ones included
- * @param admission bound on requests at once
- * @param counters counters that live on across versions
+ * @param service declaration of the service
+ * @param profile profile to which the service refers
+ * @param servers servers of this instance's share, including draining ones
+ * @param admission bound on concurrent requests
+ * @param counters counters that are kept across versions
  */
 public record ServiceState(
     Service service,
@@ -27,15 +27,18 @@
   }
 
   /**
-   * Counters that live on across versions.
+   * Counters that are kept across versions.
    *
-   * @param latency recent latencies of whole answers
-   * @param turn counter of the round-robin policy
+   * @param latency recent latencies of complete answers
+   * @param roundRobin counter of the round-robin policy
    * @param budgets retry budgets by caller group
    */
   public record Counters(
       LatencyWindow latency, AtomicInteger roundRobin, Map<String, RetryBudget> budgets) {
-    /** Groups beyond this share one budget, so that callers cannot make state grow. */
+    /**
+     * Caller groups beyond this number share one budget, so that callers cannot make the state
+     * grow.
+     */
     private static final int MAX_GROUPS = 64;
 
     private static final String SHARED_GROUP = "";
@@ -44,7 +47,7 @@
       this(new LatencyWindow(), new AtomicInteger(), new ConcurrentHashMap<>());
     }
 
-    /** The budget of a caller group. */
+    /** Returns the retry budget of a caller group. */
     public RetryBudget budget(String group) {
       String name =
           budgets.containsKey(group) || budgets.size() < MAX_GROUPS ? group : SHARED_GROUP;
--- a/core/src/main/java/org/magnoliaswitch/core/process/Timeline.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Timeline.java
@@ -7,7 +7,7 @@
 import org.jspecify.annotations.Nullable;
 import org.magnoliaswitch.core.clock.HybridClock;
 
-/** A bounded ring of the most recent events of one process; the oldest are overwritten. */
+/** A bounded ring buffer of the most recent events of one process; the oldest are overwritten. */
 public final class Timeline {
   private final String instance;
   private final HybridClock clock;
@@ -27,12 +27,12 @@
     ring.set((int) (next.getAndIncrement() % ring.length()), event);
   }
 
-  /** Records an event that concerns no request. */
+  /** Records an event that is not about a request. */
   public void record(EventKind kind, String detail) {
     record(kind, "", "", "", detail);
   }
 
-  /** The events now held, oldest first. */
+  /** Returns the events in the buffer, oldest first. */
   public List<TimelineEvent> events() {
     List<TimelineEvent> events = new ArrayList<>();
     for (int i = 0; i < ring.length(); i++) {
@@ -45,7 +45,7 @@
     return events;
   }
 
-  /** The clock that stamps the events. */
+  /** Returns the clock that timestamps the events. */
   public HybridClock clock() {
     return clock;
   }
--- a/core/src/main/java/org/magnoliaswitch/core/process/TimelineEvent.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/TimelineEvent.java
@@ -3,11 +3,11 @@
 import org.magnoliaswitch.core.clock.HybridTimestamp;
 
 /**
- * One event of the time line.
+ * One event of the timeline.
  *
- * @param time when, comparable over processes
+ * @param time when it happened, comparable across processes
  * @param instance instance that recorded it
- * @param kind what happened
+ * @param kind kind of the event
  * @param request request id, or empty
  * @param service service name, or empty
  * @param server backend server id, or empty
--- a/core/src/main/java/org/magnoliaswitch/core/process/Version.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Version.java
@@ -2,7 +2,7 @@
 
 /** Version of the programs. */
 public final class Version {
-  /** As {@code --version} prints it. */
+  /** Version text that {@code --version} prints. */
   public static final String TEXT = "0.1.0";
 
   private Version() {}
--- a/core/src/main/java/org/magnoliaswitch/core/process/package-info.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What lives for the whole process: clocks, time line, membership, load state and the store of
- * outcomes.
+ * State and services that live as long as the process: timeline, membership, configuration, load of
+ * the servers, admission, crash reports and the records of outcomes.
  */
 @NullMarked
 package org.magnoliaswitch.core.process;
