--- a/core/src/main/java/org/magnoliaswitch/core/process/Gossip.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Gossip.java
@@ -234,8 +234,8 @@
   }
 
   /**
-   * Returns the milliseconds until this instance next reads the head row. The interval grows
-   * with the number of instances, so that the reads of all instances together stay bounded.
+   * Returns the milliseconds until this instance next reads the head row. The interval grows with
+   * the number of instances, so that the reads of all instances together stay bounded.
    */
   public long nextStorePollMillis() {
     long mean = (long) settings.storePollMillis() * Math.max(1, membership.size());
--- a/core/src/test/java/org/magnoliaswitch/core/process/ClaimBatcherTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/ClaimBatcherTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Claims that share transactions. */
+/** Tests claims that share transactions. */
 public final class ClaimBatcherTest {
   private FakePlatform platform = new FakePlatform();
   private ClaimBatcher batcher = new ClaimBatcher(platform);
@@ -36,18 +36,18 @@
   }
 
   @Test(dataProvider = "faults")
-  public void tellsWhatItKnows(Fault fault, Status expected) {
+  public void reportsTheResultOfEachFault(Fault fault, Status expected) {
     platform.next(fault);
     assertEquals(claim("k", "a").status(), expected);
   }
 
   /**
-   * A claim lands after its holder told the caller that keys cannot be claimed now. The caller
-   * comes back, to the same holder or to another one: the holder may execute, the other is sent to
-   * it.
+   * A claim is applied after its holder answered that keys cannot be claimed at present. The caller
+   * retries at the same instance or at another one: the holder may execute the key, the other
+   * instance is referred to it.
    */
   @Test
-  public void aClaimThatLandsLateStillBelongsToItsHolder() {
+  public void aClaimAppliedLateStillBelongsToItsHolder() {
     platform.next(Fault.LANDS_LATE);
     claim("k", "a");
     platform.landLateWrites();
@@ -56,7 +56,7 @@
   }
 
   @Test
-  public void aClaimThatLandsLateCannotTakeAKeyFromAnother() {
+  public void aClaimAppliedLateCannotTakeAKeyFromAnother() {
     platform.next(Fault.LANDS_LATE);
     claim("k", "a");
     claim("k", "b");
--- a/core/src/test/java/org/magnoliaswitch/core/process/ConfigurationStoreTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/ConfigurationStoreTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Acceptance of versions by the platform's table. */
+/** Tests the acceptance of versions by the platform's table. */
 public final class ConfigurationStoreTest {
   private FakePlatform platform = new FakePlatform();
   private ConfigurationStore store = new ConfigurationStore(platform, platform);
@@ -39,17 +39,18 @@
   }
 
   @Test(dataProvider = "faults")
-  public void tellsWhatItKnows(Fault fault, String expected) {
+  public void reportsTheResultOfEachFault(Fault fault, String expected) {
     platform.next(fault);
     assertEquals(name(accept(1, "change")), expected);
   }
 
   /**
-   * The operator is told "undecided", the write lands late, and the operator repeats the command
-   * with the same change id. Without the change row this would be refused as raced by itself.
+   * The operator receives "undecided", the write is applied late, and the operator repeats the
+   * command with the same change id. Without the change row the repetition would be rejected
+   * because of the change itself.
    */
   @Test
-  public void repeatingAChangeThatLandedLateIsHarmless() {
+  public void repeatingAChangeAppliedLateIsHarmless() {
     platform.next(Fault.LANDS_LATE);
     accept(1, "change");
     platform.landLateWrites();
@@ -57,7 +58,7 @@
   }
 
   @Test
-  public void aWriteThatLandsLateCannotDisplaceAnotherChange() throws Exception {
+  public void aWriteAppliedLateCannotDisplaceAnotherChange() throws Exception {
     platform.next(Fault.LANDS_LATE);
     accept(1, "slow");
     accept(1, "quick");
@@ -66,34 +67,38 @@
   }
 
   @Test
-  public void theSecondOfTwoRacingOperatorsIsRefused() {
+  public void theSecondOfTwoConcurrentChangesIsRejected() {
     accept(1, "first");
     assertEquals(accept(1, "second"), new Acceptance.Raced(head(1, "first")));
   }
 
   /**
-   * Operators race and repeat undecided changes while transactions fail in every way. A change told
-   * as accepted has exactly one version, and no two changes share one.
+   * Operators submit concurrent changes and repeat undecided ones while transactions fail in every
+   * way. A change that is reported as accepted has exactly one version, and no two changes share a
+   * version.
    */
   @Test
   public void acceptsEachChangeOnceUnderRandomFaults() throws Exception {
     for (int seed = 0; seed < 300; seed++) {
       fresh();
       SplittableRandom random = new SplittableRandom(seed);
-      Map<String, Long> told = new HashMap<>();
+      Map<String, Long> acceptedVersions = new HashMap<>();
       for (int step = 0; step < 60; step++) {
         platform.nextRandom(random);
         String change = "c" + random.nextInt(12);
         long base = random.nextInt(3) == 0 ? random.nextInt(6) : store.head().version();
         if (accept(base + 1, change) instanceof Acceptance.Accepted accepted) {
-          Long before = told.put(change, accepted.head().version());
+          Long before = acceptedVersions.put(change, accepted.head().version());
           assertTrue(before == null || before == accepted.head().version(), "seed " + seed);
         }
         if (random.nextInt(4) == 0) {
           platform.landLateWrites();
         }
       }
-      assertEquals(told.values().stream().distinct().count(), told.size(), "seed " + seed);
+      assertEquals(
+          acceptedVersions.values().stream().distinct().count(),
+          acceptedVersions.size(),
+          "seed " + seed);
     }
   }
 
--- a/core/src/test/java/org/magnoliaswitch/core/process/CrashWatchTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/CrashWatchTest.java
@@ -14,7 +14,7 @@
 import org.magnoliaswitch.core.crash.Verdict;
 import org.testng.annotations.Test;
 
-/** What an instance makes of ends of servers that it sees and hears of. */
+/** Tests how an instance handles its own and received reports of crashes. */
 public final class CrashWatchTest {
   private static final RequestIdentity REQUEST = new RequestIdentity(1, 2);
 
@@ -28,26 +28,29 @@
               return nowNanos;
             }
           });
-  private final List<CrashReport> told = new ArrayList<>();
+  private final List<CrashReport> published = new ArrayList<>();
 
   private CrashWatch watch() {
-    told.clear();
+    published.clear();
     CrashWatch watch = new CrashWatch(clocks);
-    watch.addListener(update -> told.addAll(update.newReports()));
+    watch.addListener(update -> published.addAll(update.newReports()));
     return watch;
   }
 
   @Test
-  public void whatItSeesIsToldOnce() {
+  public void observedCrashesArePublishedOnce() {
     CrashWatch watch = watch();
     watch.recordCrash(List.of(REQUEST), "a", false);
     watch.recordCrash(List.of(REQUEST), "a", false);
-    assertEquals(told, List.of(new CrashReport.Crashed(REQUEST, "a", false)));
+    assertEquals(published, List.of(new CrashReport.Crashed(REQUEST, "a", false)));
   }
 
-  /** Two instances get a suspect at once; the one that hears of the other's trial makes none. */
+  /**
+   * Two instances get a suspect request at the same time; the instance that receives the report of
+   * the other's trial begins none.
+   */
   @Test
-  public void aTrialElsewhereIsWaitedFor() {
+  public void aTrialElsewhereIsAwaited() {
     CrashWatch watch = watch();
     watch.recordCrash(List.of(REQUEST), "a", false);
     watch.recordCrash(List.of(REQUEST), "b", false);
@@ -57,11 +60,12 @@
   }
 
   /**
-   * All seeds are gone, so nobody would hear of a trial. Each of a hundred instances would make one
-   * of its own, and a cause would end a hundred servers.
+   * All seeds are gone, so no other instance would receive the report of a trial. Each of a hundred
+   * instances would begin a trial of its own, and a request that crashes servers would crash a
+   * hundred.
    */
   @Test
-  public void anInstanceThatNobodyHearsMakesNoTrial() {
+  public void anInstanceThatReachesNoOtherBeginsNoTrial() {
     CrashWatch watch = watch();
     watch.allowTrialsWhen(() -> false);
     watch.recordCrash(List.of(REQUEST), "a", false);
@@ -71,18 +75,18 @@
   }
 
   @Test
-  public void anAnswerClearsAndIsTold() {
+  public void anAnswerClearsTheRequestAndIsPublished() {
     CrashWatch watch = watch();
     watch.recordCrash(List.of(REQUEST), "a", false);
     watch.recordCrash(List.of(REQUEST), "b", false);
     watch.recordAnswer(List.of(REQUEST), "c", nowNanos);
     assertEquals(watch.verdict(REQUEST), Verdict.ALLOWED);
-    assertEquals(told.getLast(), new CrashReport.Cleared(REQUEST, Set.of("a", "b"), 0));
+    assertEquals(published.getLast(), new CrashReport.Cleared(REQUEST, Set.of("a", "b"), 0));
   }
 
-  /** Another request's answer comes from a server that was thought to have ended. */
+  /** A server that was presumed to have crashed answers another request. */
   @Test
-  public void aSignOfLifeTakesTheBlameFromAll() {
+  public void aServerThatAnswersIsClearedOfItsCrash() {
     CrashWatch watch = watch();
     watch.recordCrash(List.of(REQUEST), "a", false);
     long sentBefore = nowNanos - 1;
@@ -94,11 +98,11 @@
   }
 
   @Test
-  public void whileNothingIsKnownNothingIsLookedUp() {
+  public void withoutReportsNothingIsLookedUp() {
     CrashWatch watch = watch();
     assertTrue(watch.isEmpty());
     watch.recordAnswer(List.of(REQUEST), "a", nowNanos);
     assertTrue(watch.isEmpty());
-    assertEquals(told, List.of());
+    assertEquals(published, List.of());
   }
 }
--- a/core/src/test/java/org/magnoliaswitch/core/process/CurrentVersionTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/CurrentVersionTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The version in force only rises. */
+/** Tests that the version in force only increases. */
 public final class CurrentVersionTest {
   private ContentCache cache = new ContentCache();
   private CurrentVersion current = version(cache);
@@ -32,8 +32,9 @@
   }
 
   /**
-   * Versions reach an instance in any order, from peers that lag and from the store. An older one
-   * that arrives after a newer one must change nothing, or an accepted change would be undone here.
+   * Versions reach an instance in any order, from lagging peers and from the store. An older
+   * version that arrives after a newer one must have no effect, or an accepted change would be
+   * undone here.
    */
   @Test
   public void neverRevertsWhateverTheOrderOfArrival() throws IOException {
@@ -41,27 +42,27 @@
       fresh();
       List<Long> order = new ArrayList<>(List.of(1L, 2L, 3L, 4L, 5L, 6L));
       Collections.shuffle(order, new Random(seed));
-      List<Long> seen = new ArrayList<>();
-      current.addListener(snapshot -> seen.add(snapshot.version()));
+      List<Long> versions = new ArrayList<>();
+      current.addListener(snapshot -> versions.add(snapshot.version()));
       for (long version : order) {
         current.adopt(publish(version, Declarations.service(8001)));
       }
-      List<Long> sorted = new ArrayList<>(seen);
+      List<Long> sorted = new ArrayList<>(versions);
       Collections.sort(sorted);
-      assertEquals(seen, sorted, "seed " + seed);
+      assertEquals(versions, sorted, "seed " + seed);
       assertEquals(current.get().version(), 6L);
     }
   }
 
   @Test
-  public void keepsTheOldVersionWhenTheNewOneIsUnusable() throws IOException {
+  public void keepsTheOldVersionIfTheNewOneIsInvalid() throws IOException {
     current.adopt(publish(1, Declarations.service(8001)));
     assertFalse(current.adopt(publish(2, Declarations.service())));
     assertEquals(current.get().version(), 1);
   }
 
   @Test
-  public void doesNotAskAgainForAVersionItRefused() throws IOException {
+  public void doesNotFetchARejectedVersionAgain() throws IOException {
     String digest = publish(2, Declarations.service());
     current.adopt(digest);
     assertFalse(current.shouldFetch(2, digest));
--- a/core/src/test/java/org/magnoliaswitch/core/process/EjectionPolicyTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/EjectionPolicyTest.java
@@ -13,7 +13,7 @@
 import org.magnoliaswitch.core.version.BackendServer;
 import org.testng.annotations.Test;
 
-/** Pauses for servers that fail. */
+/** Tests the ejection of failing servers. */
 public final class EjectionPolicyTest {
   private final ManualClock time = new ManualClock();
 
@@ -25,7 +25,7 @@
   }
 
   @Test
-  public void aFewFailuresAmongSuccessesEjectNobody() {
+  public void aFewFailuresAmongSuccessesEjectNoServer() {
     List<ServerHandle> servers = servers(6);
     for (int i = 0; i < 20; i++) {
       fail(servers.get(0), 1);
@@ -35,11 +35,11 @@
   }
 
   /**
-   * On a bad day every server fails. Ejecting them all would leave nobody to serve although the
-   * fault may be elsewhere, so a third of them at most is ejected at a time.
+   * If every server fails, ejecting all of them would leave no server although the fault may be
+   * elsewhere, so at most a third of them is ejected at a time.
    */
   @Test
-  public void aBadDayDoesNotEjectEveryone() {
+  public void aFailureOfAllServersEjectsAThird() {
     List<ServerHandle> servers = servers(9);
     int ejected = 0;
     for (int i = 0; i < servers.size(); i++) {
@@ -54,17 +54,17 @@
   }
 
   @Test
-  public void theNextPauseIsLonger() {
+  public void theNextEjectionIsLonger() {
     List<ServerHandle> servers = servers(3);
     ServerLoad load = servers.get(0).load();
     fail(servers.get(0), 10);
     Ejection first = decide(servers, 0).orElseThrow();
     load.eject(first);
-    long firstPause = first.untilNanos() - time.read();
-    time.advance(Duration.ofNanos(firstPause));
+    long firstDuration = first.untilNanos() - time.read();
+    time.advance(Duration.ofNanos(firstDuration));
     fail(servers.get(0), 10);
     Ejection second = decide(servers, 0).orElseThrow();
-    assertEquals(second.untilNanos() - time.read(), 2 * firstPause);
+    assertEquals(second.untilNanos() - time.read(), 2 * firstDuration);
   }
 
   private java.util.Optional<Ejection> decide(List<ServerHandle> servers, int index) {
--- a/core/src/test/java/org/magnoliaswitch/core/process/KeyIssuerTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/KeyIssuerTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Keys that name their incarnation. */
+/** Tests keys that name the incarnation that issued them. */
 public final class KeyIssuerTest {
   private final ManualClock time = new ManualClock();
   private final KeyIssuer issuer =
--- a/core/src/test/java/org/magnoliaswitch/core/process/LeavingServersTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/LeavingServersTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Signs that a backend server leaves. */
+/** Tests the signs that a backend server is leaving. */
 public final class LeavingServersTest {
   private ManualClock time = new ManualClock();
   private LeavingServers leaving = new LeavingServers(time.clocks());
@@ -23,14 +23,15 @@
   }
 
   @Test
-  public void theFirstSignIsNews() {
+  public void onlyTheFirstSignIsPublished() {
     assertTrue(leaving.markLeaving("a", Sign.REPORT));
     assertFalse(leaving.markLeaving("a", Sign.REPORT));
   }
 
   /**
-   * Two instances tell each other of a departure for ever. If each told it anew, a server that came
-   * back would never get work again; so only the first time of notice counts.
+   * Two instances keep sending each other the mark of a leaving server. If each of them renewed it,
+   * a server that returned would never get requests again; so only the time of the first-hand sign
+   * counts.
    */
   @Test
   public void peersCannotKeepAMarkAlive() {
@@ -43,11 +44,11 @@
   }
 
   /**
-   * A server is replaced in a few seconds and comes back. Marks that only ran out kept five of
-   * eight servers without work in the drain experiment, and callers were refused.
+   * A server is replaced within a few seconds and returns. If marks only expired, five of eight
+   * servers would get no requests during a rolling replacement, and callers would be rejected.
    */
   @Test
-  public void aServerThatComesBackGetsWorkAgain() {
+  public void aServerThatReturnsGetsRequestsAgain() {
     leaving.markLeaving("c", Sign.REPORT);
     time.advance(Duration.ofSeconds(1));
     assertTrue(leaving.markReturned("c", Sign.REPORT));
@@ -55,23 +56,23 @@
   }
 
   @Test
-  public void theServersOwnWordDoesNotUndoTheList() {
+  public void theServersOwnReportDoesNotOverrideTheList() {
     leaving.markLeaving("d", Sign.LIST);
     time.advance(Duration.ofSeconds(1));
     leaving.markReturned("d", Sign.REPORT);
     assertTrue(leaving.leaving("d"));
   }
 
-  /** Old news of a departure arrives after news of the return. */
+  /** An old mark that the server is leaving arrives after the mark of its return. */
   @Test
-  public void laterNewsWinsWhateverTheOrder() {
+  public void theLatestMarkWinsInAnyOrder() {
     leaving.merge(new LeavingMark("e", Sign.REPORT, time.millis() + 5, false));
     leaving.merge(new LeavingMark("e", Sign.REPORT, time.millis(), true));
     assertFalse(leaving.leaving("e"));
   }
 
   @Test
-  public void spreadsABoundedNumberOfMarks() {
+  public void limitsTheMarksPerMessage() {
     for (int i = 0; i < 100; i++) {
       leaving.markLeaving("server-" + i, Sign.LIST);
     }
--- a/core/src/test/java/org/magnoliaswitch/core/process/MembershipTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/MembershipTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The view of other instances. */
+/** Tests an instance's view of the other instances. */
 public final class MembershipTest {
   private ManualClock time = new ManualClock();
   private Membership membership = new Membership(member("self", 1), time.clocks());
@@ -24,17 +24,18 @@
   }
 
   @Test
-  public void noticesAMemberOnce() {
+  public void reportsAJoinOnce() {
     assertEquals(membership.merge(member("a", 1)), Membership.Change.JOINED);
     assertEquals(membership.merge(member("a", 2)), Membership.Change.NONE);
   }
 
   /**
-   * An instance says that it leaves, and an older heartbeat of it arrives by way of a slow peer. If
-   * the older news won, others would send to an instance that is gone; leaving is therefore final.
+   * An instance announces that it is leaving, and an older heartbeat of it arrives through a slow
+   * peer. If the older update won, other instances would contact an instance that is gone; leaving
+   * is therefore final.
    */
   @Test
-  public void olderNewsCannotUndoLeaving() {
+  public void anOutdatedUpdateCannotUndoLeaving() {
     membership.merge(member("a", 1));
     assertEquals(
         membership.merge(member("a", 1).beat(2, MemberState.LEAVING)), Membership.Change.LEFT);
@@ -50,7 +51,7 @@
   }
 
   @Test
-  public void aSilentMemberStopsCounting() {
+  public void aMemberWithoutUpdatesTimesOut() {
     membership.merge(member("a", 1));
     time.advance(Duration.ofSeconds(60));
     assertFalse(membership.live("a").isPresent());
@@ -58,7 +59,7 @@
   }
 
   @Test
-  public void repeatedOldNewsDoesNotKeepAMemberAlive() {
+  public void repeatedOutdatedUpdatesDoNotKeepAMemberAlive() {
     membership.merge(member("a", 5));
     for (int i = 0; i < 60; i++) {
       time.advance(Duration.ofSeconds(1));
--- a/core/src/test/java/org/magnoliaswitch/core/process/OutcomeLedgerTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/OutcomeLedgerTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Keys of one incarnation, in memory and in records. */
+/** Tests the keys of one incarnation, in memory and in records. */
 public final class OutcomeLedgerTest {
   private static final KeyOutcome EXECUTED = new KeyOutcome.Executed(Optional.empty());
 
@@ -32,38 +32,38 @@
   }
 
   @Test
-  public void refusesAnotherRequestUnderTheSameKey() {
+  public void rejectsAnotherRequestUnderTheSameKey() {
     begin("k", "f");
     assertTrue(begin("k", "g") instanceof OutcomeLedger.Admission.Mismatch);
   }
 
   @Test
-  public void aRefusedRequestDoesNotSpoilItsKey() {
+  public void aRejectedRequestDoesNotUseUpItsKey() {
     begin("k", "f");
     ledger.finish("k", new KeyOutcome.NotExecuted(1));
     assertTrue(ledger.begin("k", "f", 60, 2) instanceof OutcomeLedger.Admission.Execute);
   }
 
   /**
-   * The balancer sent an attempt twice. The first copy was refused and the caller told so; were the
-   * second copy executed now, the caller would have been told a falsehood.
+   * The balancer sent an attempt twice. The first copy was rejected and the caller received that
+   * answer; executing the second copy now would make the answer false.
    */
   @Test
-  public void anotherCopyOfARefusedAttemptDoesNotRun() {
+  public void anotherCopyOfARejectedAttemptDoesNotRun() {
     begin("k", "f");
     ledger.finish("k", new KeyOutcome.NotExecuted(1));
     assertTrue(begin("k", "f") instanceof OutcomeLedger.Admission.Known);
   }
 
   @Test
-  public void neverRunsAgainWhatMayHaveRun() {
+  public void neverRepeatsWhatMayHaveBeenExecuted() {
     begin("k", "f");
     ledger.finish("k", new KeyOutcome.Unknown());
     assertTrue(begin("k", "f") instanceof OutcomeLedger.Admission.Known);
   }
 
   @Test
-  public void forgetsFinishedKeysAfterRetentionOnly() {
+  public void removesFinishedKeysOnlyAfterRetention() {
     begin("done", "f");
     begin("running", "f");
     ledger.finish("done", EXECUTED);
@@ -75,9 +75,9 @@
     assertEquals(ledger.size(), 1);
   }
 
-  /** What survivors read when an incarnation is gone. */
+  /** Another instance reads the records of an incarnation that is gone. */
   @Test
-  public void recordsTellOutcomesAndWhetherTheyAreComplete() throws Exception {
+  public void recordsContainOutcomesAndWhetherTheyAreComplete() throws Exception {
     FakePlatform platform = new FakePlatform();
     OutcomeRecords gone = new OutcomeRecords(platform, "gone", time.clocks());
     OutcomeRecords survivor = new OutcomeRecords(platform, "survivor", time.clocks());
@@ -92,7 +92,7 @@
   }
 
   @Test
-  public void whatCouldNotBeRecordedIsRecordedLater() throws Exception {
+  public void outcomesThatCouldNotBeRecordedAreRecordedLater() throws Exception {
     FakePlatform platform = new FakePlatform();
     OutcomeRecords records = new OutcomeRecords(platform, "i", time.clocks());
     begin("k", "f");
--- a/core/src/test/java/org/magnoliaswitch/core/process/PauseTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/PauseTest.java
@@ -6,7 +6,7 @@
 
 import org.testng.annotations.Test;
 
-/** Pauses that a server asks for. */
+/** Tests pauses that a server requests. */
 public final class PauseTest {
   @Test
   public void isActiveUntilItsEnd() {
@@ -15,16 +15,16 @@
     assertFalse(pause.active(100));
   }
 
-  /** Guards against a monotonic clock below zero, at which no pause would seem to last. */
+  /** Guards against negative values of the monotonic clock, which must not end every pause. */
   @Test
   public void noneIsNeverActive() {
     assertFalse(Pause.NONE.active(-100));
     assertTrue(Pause.NONE.extendedTo(-50).active(-100));
   }
 
-  /** Guards against a pause that a later and shorter one cuts short. */
+  /** Guards against a pause that is shortened by a later one with an earlier end. */
   @Test
-  public void theOneThatEndsLastCounts() {
+  public void thePauseThatEndsLastApplies() {
     Pause pause = Pause.NONE.extendedTo(100);
     assertEquals(pause.extendedTo(90), pause);
     assertEquals(pause.extendedTo(110), new Pause(110, true));
--- a/core/src/test/java/org/magnoliaswitch/core/process/ProberTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/ProberTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The bound on probes over all instances. */
+/** Tests the bound on the probes of all instances together. */
 public final class ProberTest {
   @DataProvider
   public static Object[][] instances() {
@@ -23,12 +23,12 @@
   }
 
   /**
-   * Instances know only as many of the others as the second number says, since the list is frozen
-   * or out, and each asks for a probe at every chance. The budget must hold in every window all the
-   * same, which it does as the declared bound on instances alone sets the pace.
+   * Instances know only as many instances as the second number says, since the list is frozen or
+   * unavailable, and each requests a probe at every opportunity. The budget must still hold in
+   * every window, because the declared maximum number of instances bounds the rate of each.
    */
   @Test(dataProvider = "instances")
-  public void staysWithinBudgetWhateverInstancesKnow(int alive, int known) {
+  public void staysWithinBudgetWhateverTheKnownInstances(int alive, int known) {
     MeasuringBudget budget = new MeasuringBudget(5, 40);
     ManualClock time = new ManualClock();
     List<ServerLoad> loads = new ArrayList<>();
@@ -47,13 +47,13 @@
     long window = Duration.ofMillis(budget.windowMillis()).toNanos();
     double allowed = budget.probesPerSecond() * budget.windowMillis() / 1_000.0;
     for (long start : probes) {
-      long inside = probes.stream().filter(p -> p >= start && p < start + window).count();
-      assertTrue(inside <= allowed, inside + " probes, allowed " + allowed);
+      long probesInWindow = probes.stream().filter(p -> p >= start && p < start + window).count();
+      assertTrue(probesInWindow <= allowed, probesInWindow + " probes, allowed " + allowed);
     }
   }
 
   @Test
-  public void moreInstancesThanDeclaredSlowEachOneDown() {
+  public void moreInstancesThanDeclaredLengthenTheWindow() {
     MeasuringBudget budget = new MeasuringBudget(5, 40);
     assertEquals(Prober.windowNanos(budget, 80), 2 * Prober.windowNanos(budget, 40));
   }
--- a/core/src/test/java/org/magnoliaswitch/core/process/RequestCrashesTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/RequestCrashesTest.java
@@ -11,15 +11,15 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What one request may do while servers end under requests like it. */
+/** Tests how one request may be sent while servers crash during requests like it. */
 public final class RequestCrashesTest {
-  private static final Duration NOTICE = Duration.ofMillis(50);
+  private static final Duration TRIAL_DELAY = Duration.ofMillis(50);
   private static final RequestIdentity REQUEST = new RequestIdentity(1, 2);
 
   private ManualClock time;
   private CrashWatch watch;
 
-  /** Two servers ended under the request, so the next one to get it is at risk. */
+  /** Two servers crashed while serving the request, so the next server to get it is at risk. */
   @BeforeMethod
   public void start() {
     time = new ManualClock();
@@ -31,45 +31,48 @@
         CrashWatch.Source.PEER);
   }
 
-  private RequestCrashes request(Duration notice) {
+  private RequestCrashes request(Duration trialDelay) {
     return new RequestCrashes(
         watch,
         time.clocks(),
-        notice.toNanos(),
+        trialDelay.toNanos(),
         () -> RequestCrashes.Identities.of(REQUEST, "127.0.0.1"));
   }
 
   /**
-   * A caller brings a request that ends servers, and comes back as soon as a try fails. It reaches
-   * the next instance a few milliseconds after its trial at another one began, before that is known
-   * here. The trial must be heard of first, or each instance loses a server to it: seven ended
-   * under one request where six were allowed, three of them within 13 ms at three instances.
+   * A caller sends a request that crashes servers, and retries as soon as an attempt fails. It
+   * reaches the next instance a few milliseconds after its trial began at another one, before the
+   * report of the trial arrives. The instance must wait for the report, or each instance loses a
+   * server: one request crashed seven servers where six were allowed, three of them within 13 ms at
+   * three instances.
    */
   @Test
-  public void aTrialThatBeganElsewhereAMomentAgoIsHeardOfFirst() {
-    RequestCrashes request = request(NOTICE);
+  public void aTrialThatBeganElsewhereJustBeforeIsAwaited() {
+    RequestCrashes request = request(TRIAL_DELAY);
     assertEquals(request.admit(), Verdict.WAIT);
     time.advance(Duration.ofMillis(10));
     watch.receive(List.of(new CrashReport.TrialStarted(REQUEST, 1)), CrashWatch.Source.PEER);
-    time.advance(NOTICE);
+    time.advance(TRIAL_DELAY);
     assertEquals(request.admit(), Verdict.WAIT);
     watch.receive(List.of(new CrashReport.Crashed(REQUEST, "c@0", true)), CrashWatch.Source.PEER);
     assertEquals(request.admit(), Verdict.REFUSED);
   }
 
-  /** Nobody else tries it, so it goes to a server after the notice: an answer would clear it. */
+  /**
+   * No other instance begins a trial, so the request is sent after the delay; an answer clears it.
+   */
   @Test
-  public void withoutNewsItsTrialBeginsAfterTheNotice() {
-    RequestCrashes request = request(NOTICE);
+  public void withoutReportsTheTrialBeginsAfterTheDelay() {
+    RequestCrashes request = request(TRIAL_DELAY);
     assertEquals(request.verdict(), Verdict.WAIT);
-    time.advance(NOTICE);
+    time.advance(TRIAL_DELAY);
     assertEquals(request.admit(), Verdict.TRIAL);
     assertEquals(watch.table().trials(REQUEST), 1);
   }
 
-  /** Where requests cannot wait, a caller would be turned away again and again. */
+  /** Where requests cannot wait, a delay would reject the caller again and again. */
   @Test
-  public void withoutANoticeItsTrialBeginsAtOnce() {
+  public void withoutADelayTheTrialBeginsAtOnce() {
     assertEquals(request(Duration.ZERO).admit(), Verdict.TRIAL);
   }
 }
--- a/core/src/test/java/org/magnoliaswitch/core/process/RetryAfterHeaderTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/RetryAfterHeaderTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Values of the header by which servers ask for a pause. */
+/** Tests values of the header with which servers request a pause. */
 public final class RetryAfterHeaderTest {
   private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
@@ -27,7 +27,7 @@
   }
 
   @Test(dataProvider = "values")
-  public void namesNanosecondsOrNothing(String value, OptionalLong expected) {
+  public void parsesOnlySeconds(String value, OptionalLong expected) {
     assertEquals(RetryAfterHeader.nanos(value), expected);
   }
 }
--- a/core/src/test/java/org/magnoliaswitch/core/process/ServerShareTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/ServerShareTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Shares of servers among instances. */
+/** Tests the distribution of servers among instances. */
 public final class ServerShareTest {
   @DataProvider
   public static Object[][] sizes() {
@@ -21,14 +21,17 @@
 
   @Test(dataProvider = "sizes")
   public void coversServersEvenly(int servers, int instances) {
-    Map<String, Integer> users = users(servers, instances);
-    int most = users.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
-    int least = users.values().stream().mapToInt(Integer::intValue).min().orElseThrow();
-    assertEquals(users.size(), servers);
-    assertTrue(most - least <= 2, least + " to " + most);
+    Map<String, Integer> instancesPerServer = instancesPerServer(servers, instances);
+    int max = instancesPerServer.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
+    int min = instancesPerServer.values().stream().mapToInt(Integer::intValue).min().orElseThrow();
+    assertEquals(instancesPerServer.size(), servers);
+    assertTrue(max - min <= 2, min + " to " + max);
   }
 
-  /** With instances doubled in a replacement, all together must fit a server's 250 connections. */
+  /**
+   * If the number of instances doubles during a replacement, the connections of all instances
+   * together must fit into the 250 of a server.
+   */
   @Test(dataProvider = "sizes")
   public void connectionsFitWhileInstancesDouble(int servers, int instances) {
     List<BackendServer> all = all(servers);
@@ -36,27 +39,27 @@
     for (int i = 0; i < instances; i++) {
       List<BackendServer> share = ServerShare.select(all, new Membership.Rank(i, instances));
       for (BackendServer server : share) {
-        int mine = ServerShare.connections(server, servers, share.size(), instances);
-        connections.merge(server.id(), 2 * mine, Integer::sum);
+        int own = ServerShare.connections(server, servers, share.size(), instances);
+        connections.merge(server.id(), 2 * own, Integer::sum);
       }
     }
-    int most = connections.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
-    assertTrue(most <= 275, "up to " + most);
+    int max = connections.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
+    assertTrue(max <= 275, "up to " + max);
   }
 
   @Test
-  public void aSmallSystemSharesNothingOut() {
+  public void inASmallSystemEachInstanceUsesAllServers() {
     assertEquals(ServerShare.select(all(20), new Membership.Rank(3, 18)).size(), 20);
   }
 
-  private static Map<String, Integer> users(int servers, int instances) {
+  private static Map<String, Integer> instancesPerServer(int servers, int instances) {
     List<BackendServer> all = all(servers);
-    Map<String, Integer> users = new HashMap<>();
+    Map<String, Integer> instancesPerServer = new HashMap<>();
     for (int i = 0; i < instances; i++) {
       ServerShare.select(all, new Membership.Rank(i, instances))
-          .forEach(server -> users.merge(server.id(), 1, Integer::sum));
+          .forEach(server -> instancesPerServer.merge(server.id(), 1, Integer::sum));
     }
-    return users;
+    return instancesPerServer;
   }
 
   private static List<BackendServer> all(int count) {
--- a/core/src/test/java/org/magnoliaswitch/core/process/ServiceAdmissionTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/ServiceAdmissionTest.java
@@ -11,7 +11,7 @@
 import org.magnoliaswitch.core.version.AdmissionPolicy;
 import org.testng.annotations.Test;
 
-/** Room for requests at once. */
+/** Tests the bound on concurrent requests. */
 public final class ServiceAdmissionTest {
   private final ManualClock time = new ManualClock();
 
@@ -42,16 +42,16 @@
   }
 
   @Test
-  public void refusesAtOnceWhatCouldOnlyComeTooLate() {
+  public void rejectsAtOnceWhatWouldBeTooLate() {
     ServiceAdmission admission = admission(1, 10);
     admit(admission);
     assertEquals(
         admission.admit(Declarations.READ, time.read()), ServiceAdmission.Verdict.TOO_LATE);
   }
 
-  /** Near saturation a hedge would take the room that first attempts wait for. */
+  /** Near saturation a hedge would take the capacity that first attempts wait for. */
   @Test
-  public void givesNoSpareRoomNearTheWindow() {
+  public void grantsNoSpareCapacityNearTheWindow() {
     ServiceAdmission admission = admission(4, 10);
     assertTrue(admission.tryAcquireSpare());
     admit(admission);
@@ -59,9 +59,9 @@
     assertEquals(admission.tryAcquireSpare(), false);
   }
 
-  /** A waiter is woken by the release of another request, not by a poll. */
+  /** A waiting request is woken by the release of another request, not by polling. */
   @Test
-  public void freedRoomGoesToAWaiter() {
+  public void freedCapacityGoesToAWaitingRequest() {
     ServiceAdmission admission = admission(1, 10);
     admit(admission);
     CompletableFuture<ServiceAdmission.Verdict> waiter =
