--- a/core/src/test/java/org/magnoliaswitch/core/operator/SpreadTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/operator/SpreadTest.java
@@ -95,8 +95,8 @@
     start(4);
     platform.down(true);
     await(() -> instances.stream().allMatch(i -> i.state().membership().size() == 4));
-    instances.getFirst().state().leaving().noticed("server-1", LeavingMark.Sign.OPERATOR);
-    instances.getFirst().gossip().pushNews();
+    instances.getFirst().state().leaving().markLeaving("server-1", LeavingMark.Sign.OPERATOR);
+    instances.getFirst().gossip().pushUpdate();
     await(() -> instances.stream().allMatch(i -> i.state().leaving().leaving("server-1")));
   }
 
@@ -111,7 +111,7 @@
     platform.down(true);
     await(() -> instances.stream().allMatch(i -> i.state().membership().size() == 4));
     for (int i = 0; i < 3; i++) {
-      instances.get(i).state().crashes().ended(List.of(request), "server-" + i, i == 2);
+      instances.get(i).state().crashes().recordCrash(List.of(request), "server-" + i, i == 2);
     }
     await(() -> instances.stream().allMatch(i -> confirmed(i, request)));
     start(1);
