--- a/bench/src/main/java/org/magnoliaswitch/bench/CallerSession.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/CallerSession.java
@@ -96,7 +96,7 @@
     }
     BackendConnection connection;
     try {
-      connection = pool.take(KEEP_ALIVE_NANOS, CONNECT_MILLIS);
+      connection = pool.acquire(KEEP_ALIVE_NANOS, CONNECT_MILLIS);
     } catch (IOException e) {
       return Try.FAILED;
     }
@@ -105,7 +105,7 @@
       // Callers wait a little past their deadline, so that a late answer is seen as late.
       long whole = left + TimeUnit.MILLISECONDS.toNanos(500);
       long patience = TimeUnit.MILLISECONDS.toNanos(kind.deadlineMillis() * 2L / 5);
-      connection.readTimeout(kind.tries() > 1 ? Math.min(whole, patience) : whole);
+      connection.setReadTimeout(kind.tries() > 1 ? Math.min(whole, patience) : whole);
       connection.send(request);
       ClassicHttpResponse response = connection.receiveHead();
       connection.receiveBody(response);
@@ -120,7 +120,7 @@
       return Try.FAILED;
     } finally {
       if (keep) {
-        pool.giveBack(connection);
+        pool.release(connection);
       } else {
         pool.discard(connection);
       }
@@ -192,10 +192,10 @@
     BasicClassicHttpRequest request = new BasicClassicHttpRequest("GET", path);
     request.setHeader("Host", host);
     try {
-      BackendConnection connection = pool.take(KEEP_ALIVE_NANOS, CONNECT_MILLIS);
+      BackendConnection connection = pool.acquire(KEEP_ALIVE_NANOS, CONNECT_MILLIS);
       boolean whole = false;
       try {
-        connection.readTimeout(TimeUnit.SECONDS.toNanos(1));
+        connection.setReadTimeout(TimeUnit.SECONDS.toNanos(1));
         connection.send(request);
         ClassicHttpResponse response = connection.receiveHead();
         connection.receiveBody(response);
@@ -206,7 +206,7 @@
         return Optional.of(new Told(response.getCode(), outcome, text.strip()));
       } finally {
         if (whole) {
-          pool.giveBack(connection);
+          pool.release(connection);
         } else {
           pool.discard(connection);
         }
--- a/core/src/main/java/org/magnoliaswitch/core/connection/BackendConnection.java
+++ b/core/src/main/java/org/magnoliaswitch/core/connection/BackendConnection.java
@@ -72,13 +72,13 @@
   }
 
   /** Bounds each following read. */
-  public void readTimeout(long nanos) {
+  public void setReadTimeout(long nanos) {
     long millis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(nanos));
     http.setSocketTimeout(Timeout.ofMilliseconds(millis));
   }
 
   /** Notes that an exchange ended with a whole answer. */
-  public void succeeded(long nowNanos) {
+  public void recordSuccess(long nowNanos) {
     lastSuccessNanos = nowNanos;
   }
 
--- a/core/src/main/java/org/magnoliaswitch/core/connection/ConnectionPool.java
+++ b/core/src/main/java/org/magnoliaswitch/core/connection/ConnectionPool.java
@@ -25,14 +25,14 @@
   private final Clocks clocks;
   private final AtomicInteger open = new AtomicInteger();
   private final AtomicInteger limit;
-  private final AtomicLong doubtedBeforeNanos;
+  private final AtomicLong distrustedBeforeNanos;
   private final ConcurrentLinkedDeque<BackendConnection> idle = new ConcurrentLinkedDeque<>();
 
   public ConnectionPool(InetSocketAddress address, int limit, Clocks clocks) {
     this.address = address;
     this.clocks = clocks;
     this.limit = new AtomicInteger(limit);
-    this.doubtedBeforeNanos = new AtomicLong(clocks.nanos());
+    this.distrustedBeforeNanos = new AtomicLong(clocks.nanos());
   }
 
   /** Thrown when this instance's share of the server's connections is in use. */
@@ -48,12 +48,12 @@
    * @param maxIdleNanos oldest last answer to accept; requests that must not end with an unknown
    *     outcome for nothing pass a small value
    */
-  public BackendConnection take(long maxIdleNanos, int connectTimeoutMillis) throws IOException {
-    BackendConnection reused = reuse(Math.min(maxIdleNanos, MAX_IDLE_NANOS));
+  public BackendConnection acquire(long maxIdleNanos, int connectTimeoutMillis) throws IOException {
+    BackendConnection reused = acquireIdle(Math.min(maxIdleNanos, MAX_IDLE_NANOS));
     if (reused != null) {
       return reused;
     }
-    if (open.incrementAndGet() > limit.get() && !closeOneIdle()) {
+    if (open.incrementAndGet() > limit.get() && !evictOldestIdle()) {
       open.decrementAndGet();
       throw new PoolExhaustedException(limit.get());
     }
@@ -81,8 +81,8 @@
   }
 
   /** Gives back a connection whose exchange ended with a whole answer. */
-  public void giveBack(BackendConnection connection) {
-    connection.succeeded(clocks.nanos());
+  public void release(BackendConnection connection) {
+    connection.recordSuccess(clocks.nanos());
     idle.addFirst(connection);
   }
 
@@ -95,12 +95,12 @@
   }
 
   /** Closes on next sight all idle connections without an answer since the given time. */
-  public void doubt(long sinceNanos) {
-    doubtedBeforeNanos.accumulateAndGet(sinceNanos, (a, b) -> b - a > 0 ? b : a);
+  public void distrustIdleSince(long sinceNanos) {
+    distrustedBeforeNanos.accumulateAndGet(sinceNanos, (a, b) -> b - a > 0 ? b : a);
   }
 
   /** Closes connections that idled too long or are in doubt; called now and then. */
-  public void sweep() {
+  public void evictUnusable() {
     for (BackendConnection connection : idle) {
       if (!usable(connection, MAX_IDLE_NANOS) && idle.remove(connection)) {
         discard(connection);
@@ -120,11 +120,11 @@
 
   /** Closes all idle connections; those in use are closed by their exchanges. */
   public void closeIdle() {
-    doubt(clocks.nanos());
-    sweep();
+    distrustIdleSince(clocks.nanos());
+    evictUnusable();
   }
 
-  private @Nullable BackendConnection reuse(long maxIdleNanos) {
+  private @Nullable BackendConnection acquireIdle(long maxIdleNanos) {
     for (BackendConnection next = idle.pollFirst(); next != null; next = idle.pollFirst()) {
       if (usable(next, maxIdleNanos)) {
         return next;
@@ -139,7 +139,7 @@
     return null;
   }
 
-  private boolean closeOneIdle() {
+  private boolean evictOldestIdle() {
     BackendConnection oldest = idle.pollLast();
     if (oldest == null) {
       return false;
@@ -150,6 +150,6 @@
 
   private boolean usable(BackendConnection connection, long maxIdleNanos) {
     long last = connection.lastSuccessNanos();
-    return clocks.nanos() - last < maxIdleNanos && last - doubtedBeforeNanos.get() >= 0;
+    return clocks.nanos() - last < maxIdleNanos && last - distrustedBeforeNanos.get() >= 0;
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/ControlPlane.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ControlPlane.java
@@ -250,7 +250,7 @@
     if (leaves) {
       handle.pool().closeIdle();
     } else {
-      handle.pool().sweep();
+      handle.pool().evictUnusable();
     }
   }
 
--- a/core/src/main/java/org/magnoliaswitch/core/process/Prober.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Prober.java
@@ -92,13 +92,13 @@
   private void probe(ServiceState service, ServerHandle handle) {
     sent.incrementAndGet();
     try {
-      BackendConnection connection = handle.pool().take(Long.MAX_VALUE, TIMEOUT_MILLIS);
+      BackendConnection connection = handle.pool().acquire(Long.MAX_VALUE, TIMEOUT_MILLIS);
       boolean whole = false;
       try {
         whole = exchange(service, handle, connection);
       } finally {
         if (whole) {
-          handle.pool().giveBack(connection);
+          handle.pool().release(connection);
         } else {
           handle.pool().discard(connection);
         }
@@ -110,7 +110,7 @@
 
   private boolean exchange(ServiceState service, ServerHandle handle, BackendConnection connection)
       throws IOException, HttpException {
-    connection.readTimeout(TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS));
+    connection.setReadTimeout(TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS));
     BasicClassicHttpRequest request = new BasicClassicHttpRequest("GET", LOAD_PATH);
     request.setHeader("Host", handle.server().host() + ':' + handle.server().port());
     connection.send(request);
--- a/core/src/main/java/org/magnoliaswitch/core/request/AttemptRunner.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/AttemptRunner.java
@@ -243,7 +243,7 @@
 
     /** An exchange without any sign of life casts doubt on connections of the same age. */
     private void suspectSilence(long started) {
-      server.pool().doubt(started);
+      server.pool().distrustIdleSince(started);
       event(EventKind.CONNECTION_SILENT, "attempt=" + number);
     }
 
--- a/core/src/main/java/org/magnoliaswitch/core/request/Exchange.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/Exchange.java
@@ -67,7 +67,7 @@
   public void connect(long maxIdleNanos, int connectTimeoutMillis) throws IOException {
     long left = TimeUnit.NANOSECONDS.toMillis(deadline.remaining(clocks.nanos()));
     int timeout = (int) Math.max(1, Math.min(connectTimeoutMillis, left));
-    connection = pool.take(maxIdleNanos, timeout);
+    connection = pool.acquire(maxIdleNanos, timeout);
     if (cancelled.get()) {
       end(false);
       throw new IOException("cancelled");
@@ -100,7 +100,7 @@
     if (left <= 0) {
       return null;
     }
-    used.readTimeout(left);
+    used.setReadTimeout(left);
     try {
       return new Head(used.receiveHead());
     } catch (SocketTimeoutException e) {
@@ -219,7 +219,7 @@
       return;
     }
     if (keep) {
-      pool.giveBack(used);
+      pool.release(used);
     } else {
       pool.discard(used);
     }
@@ -277,7 +277,7 @@
       if (left <= 0) {
         throw new SocketTimeoutException("the deadline passed within the answer");
       }
-      used.readTimeout(left);
+      used.setReadTimeout(left);
     }
   }
 }
--- a/core/src/test/java/org/magnoliaswitch/core/connection/ConnectionPoolTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/connection/ConnectionPoolTest.java
@@ -39,46 +39,46 @@
 
   @Test
   public void reusesTheMostRecentlyUsed() throws IOException {
-    BackendConnection first = pool.take(ANY, TIMEOUT);
-    BackendConnection second = pool.take(ANY, TIMEOUT);
-    pool.giveBack(first);
-    pool.giveBack(second);
-    assertSame(pool.take(ANY, TIMEOUT), second);
+    BackendConnection first = pool.acquire(ANY, TIMEOUT);
+    BackendConnection second = pool.acquire(ANY, TIMEOUT);
+    pool.release(first);
+    pool.release(second);
+    assertSame(pool.acquire(ANY, TIMEOUT), second);
   }
 
   /** A booking must not be put on a connection that nobody has heard of for a while. */
   @Test
   public void opensANewOneWhenTheIdleOneIsTooOldForTheRequest() throws IOException {
-    BackendConnection idle = pool.take(ANY, TIMEOUT);
-    pool.giveBack(idle);
+    BackendConnection idle = pool.acquire(ANY, TIMEOUT);
+    pool.release(idle);
     time.advance(Duration.ofSeconds(1));
-    assertNotSame(pool.take(Duration.ofMillis(500).toNanos(), TIMEOUT), idle);
-    assertSame(pool.take(ANY, TIMEOUT), idle);
+    assertNotSame(pool.acquire(Duration.ofMillis(500).toNanos(), TIMEOUT), idle);
+    assertSame(pool.acquire(ANY, TIMEOUT), idle);
   }
 
   /** One connection went silent; its siblings of the same age are not trusted any more. */
   @Test
   public void doubtClosesSiblingsWithoutALaterAnswer() throws IOException {
-    BackendConnection sibling = pool.take(ANY, TIMEOUT);
-    pool.giveBack(sibling);
+    BackendConnection sibling = pool.acquire(ANY, TIMEOUT);
+    pool.release(sibling);
     time.advance(Duration.ofSeconds(1));
-    pool.doubt(time.read());
-    assertNotSame(pool.take(ANY, TIMEOUT), sibling);
+    pool.distrustIdleSince(time.read());
+    assertNotSame(pool.acquire(ANY, TIMEOUT), sibling);
     assertEquals(pool.openConnections(), 1);
   }
 
   @Test
   public void sweepsWhatIdledTooLong() throws IOException {
-    pool.giveBack(pool.take(ANY, TIMEOUT));
+    pool.release(pool.acquire(ANY, TIMEOUT));
     time.advance(Duration.ofSeconds(11));
-    pool.sweep();
+    pool.evictUnusable();
     assertEquals(pool.openConnections(), 0);
   }
 
   /** A server that leaves closes its side; found idle after its return it would break a request. */
   @Test
   public void closesEverythingIdleOfAServerThatLeaves() throws IOException {
-    pool.giveBack(pool.take(ANY, TIMEOUT));
+    pool.release(pool.acquire(ANY, TIMEOUT));
     time.advance(Duration.ofMillis(1));
     pool.closeIdle();
     assertEquals(pool.openConnections(), 0);
@@ -86,9 +86,9 @@
 
   @Test
   public void staysWithinItsShare() throws IOException {
-    pool.take(ANY, TIMEOUT);
-    pool.take(ANY, TIMEOUT);
-    assertThrows(ConnectionPool.PoolExhaustedException.class, () -> pool.take(ANY, TIMEOUT));
+    pool.acquire(ANY, TIMEOUT);
+    pool.acquire(ANY, TIMEOUT);
+    assertThrows(ConnectionPool.PoolExhaustedException.class, () -> pool.acquire(ANY, TIMEOUT));
   }
 
   private ConnectionPool pool(int limit) {
