--- a/core/src/main/java/org/magnoliaswitch/core/peer/GossipDigest.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/GossipDigest.java
@@ -21,7 +21,7 @@
     long version,
     String manifest,
     List<Member> members,
-    List<LeavingMark> leaving) {
+    List<LeavingNotice> leaving) {
   /** The hybrid clock of the sender. */
   public HybridTimestamp time() {
     return new HybridTimestamp(millis, counter);
--- a/core/src/main/java/org/magnoliaswitch/core/peer/LeavingMark.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/LeavingNotice.java
@@ -11,9 +11,9 @@
  * @param leaving whether the server leaves, by this sign
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-public record LeavingMark(String server, Sign sign, long atMillis, boolean leaving) {
+public record LeavingNotice(String server, Source source, long atMillis, boolean leaving) {
   /** Who said so; any one is enough to stop new work. */
-  public enum Sign {
+  public enum Source {
     /** The server's own report. */
     REPORT,
     /** The platform's list. */
--- a/core/src/main/java/org/magnoliaswitch/core/peer/Member.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/Member.java
@@ -27,7 +27,7 @@
     long heartbeat,
     MemberState state) {
   /** The same member with a later heartbeat. */
-  public Member beat(long next, MemberState now) {
+  public Member withHeartbeat(long next, MemberState now) {
     return new Member(
         incarnation, instance, dataCentre, host, callerPort, operatorPort, peerPort, next, now);
   }
--- a/core/src/main/java/org/magnoliaswitch/core/peer/PeerClient.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/PeerClient.java
@@ -12,12 +12,12 @@
  * Calls peers over kept connections; the number of kept ones is bounded, least recent out first.
  */
 public final class PeerClient implements AutoCloseable {
-  private static final int MAX_KEPT_PEERS = 8;
-  private static final int MAX_KEPT_PER_PEER = 2;
+  private static final int MAX_POOLED_PEERS = 8;
+  private static final int MAX_POOLED_PER_PEER = 2;
 
   private final PeerSecret secret;
   private final PeerTraffic traffic;
-  private final Map<Address, Deque<PeerConnection>> kept = new LinkedHashMap<>(16, 0.75f, true);
+  private final Map<Address, Deque<PeerConnection>> pooled = new LinkedHashMap<>(16, 0.75f, true);
 
   public PeerClient(PeerSecret secret, PeerTraffic traffic) {
     this.secret = secret;
@@ -31,10 +31,10 @@
    *     handled
    */
   public PeerMessage call(Address peer, PeerMessage request, int timeoutMillis) throws IOException {
-    PeerConnection connection = takeOrOpen(peer, timeoutMillis);
+    PeerConnection connection = acquireOrOpen(peer, timeoutMillis);
     boolean whole = false;
     try {
-      connection.readTimeout(Math.max(1, timeoutMillis));
+      connection.setReadTimeout(Math.max(1, timeoutMillis));
       connection.write(request);
       PeerMessage reply = connection.read();
       whole = true;
@@ -43,32 +43,32 @@
     } finally {
       // A connection without a whole reply is closed: a late reply must not meet the next request.
       if (whole) {
-        keep(peer, connection);
+        pool(peer, connection);
       } else {
         connection.close();
-        forget(peer);
+        closePooled(peer);
       }
     }
   }
 
   /** Peers to which a connection is kept. */
-  public List<Address> keptPeers() {
-    synchronized (kept) {
-      return List.copyOf(kept.keySet());
+  public List<Address> connectedPeers() {
+    synchronized (pooled) {
+      return List.copyOf(pooled.keySet());
     }
   }
 
   @Override
   public void close() {
-    synchronized (kept) {
-      kept.values().forEach(queue -> queue.forEach(PeerConnection::close));
-      kept.clear();
+    synchronized (pooled) {
+      pooled.values().forEach(queue -> queue.forEach(PeerConnection::close));
+      pooled.clear();
     }
   }
 
-  private PeerConnection takeOrOpen(Address peer, int timeoutMillis) throws IOException {
-    synchronized (kept) {
-      Deque<PeerConnection> queue = kept.get(peer);
+  private PeerConnection acquireOrOpen(Address peer, int timeoutMillis) throws IOException {
+    synchronized (pooled) {
+      Deque<PeerConnection> queue = pooled.get(peer);
       if (queue != null && !queue.isEmpty()) {
         return queue.pop();
       }
@@ -86,24 +86,24 @@
     }
   }
 
-  private void keep(Address peer, PeerConnection connection) {
-    synchronized (kept) {
-      Deque<PeerConnection> queue = kept.computeIfAbsent(peer, p -> new ArrayDeque<>());
-      if (queue.size() >= MAX_KEPT_PER_PEER) {
+  private void pool(Address peer, PeerConnection connection) {
+    synchronized (pooled) {
+      Deque<PeerConnection> queue = pooled.computeIfAbsent(peer, p -> new ArrayDeque<>());
+      if (queue.size() >= MAX_POOLED_PER_PEER) {
         connection.close();
       } else {
         queue.push(connection);
       }
-      if (kept.size() > MAX_KEPT_PEERS) {
-        Address oldest = kept.keySet().iterator().next();
-        kept.remove(oldest).forEach(PeerConnection::close);
+      if (pooled.size() > MAX_POOLED_PEERS) {
+        Address oldest = pooled.keySet().iterator().next();
+        pooled.remove(oldest).forEach(PeerConnection::close);
       }
     }
   }
 
-  private void forget(Address peer) {
-    synchronized (kept) {
-      Deque<PeerConnection> queue = kept.remove(peer);
+  private void closePooled(Address peer) {
+    synchronized (pooled) {
+      Deque<PeerConnection> queue = pooled.remove(peer);
       if (queue != null) {
         queue.forEach(PeerConnection::close);
       }
--- a/core/src/main/java/org/magnoliaswitch/core/peer/PeerConnection.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/PeerConnection.java
@@ -32,7 +32,7 @@
   }
 
   /** Accepting side: sends a challenge and checks the answer. */
-  void authenticateCaller(String challenge, PeerSecret secret) throws IOException {
+  void authenticatePeer(String challenge, PeerSecret secret) throws IOException {
     writeHandshake(challenge.getBytes(StandardCharsets.US_ASCII));
     if (!secret.matches(challenge, readHandshake())) {
       throw new FrameException(FrameException.Reason.UNAUTHENTICATED, "a wrong signature");
@@ -57,7 +57,7 @@
     return FrameCodec.decode(frame);
   }
 
-  void readTimeout(int millis) throws IOException {
+  void setReadTimeout(int millis) throws IOException {
     socket.setSoTimeout(millis);
   }
 
--- a/core/src/main/java/org/magnoliaswitch/core/peer/PeerHandler.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/PeerHandler.java
@@ -4,5 +4,5 @@
 @FunctionalInterface
 public interface PeerHandler {
   /** Returns the reply to a request. */
-  PeerMessage answer(PeerMessage request);
+  PeerMessage handle(PeerMessage request);
 }
--- a/core/src/main/java/org/magnoliaswitch/core/peer/PeerServer.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/PeerServer.java
@@ -71,15 +71,15 @@
     try (PeerConnection connection = new PeerConnection(socket, traffic.bytes())) {
       connections.add(connection);
       try {
-        connection.readTimeout(HANDSHAKE_TIMEOUT_MILLIS);
-        connection.authenticateCaller(challenge(), secret);
-        connection.readTimeout(IDLE_TIMEOUT_MILLIS);
+        connection.setReadTimeout(HANDSHAKE_TIMEOUT_MILLIS);
+        connection.authenticatePeer(challenge(), secret);
+        connection.setReadTimeout(IDLE_TIMEOUT_MILLIS);
         answerAll(connection);
       } finally {
         connections.remove(connection);
       }
     } catch (FrameException e) {
-      traffic.refused().incrementAndGet();
+      traffic.rejected().incrementAndGet();
       logger.atWarning().log(
           "event=peer_frame_refused reason=%s from=%s",
           e.reason(), socket.getRemoteSocketAddress());
@@ -94,7 +94,7 @@
     while (!listener.isClosed()) {
       PeerMessage request = connection.read();
       traffic.messages().addAndGet(2);
-      connection.write(handler.answer(request));
+      connection.write(handler.handle(request));
     }
   }
 
--- a/core/src/main/java/org/magnoliaswitch/core/peer/PeerTraffic.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/PeerTraffic.java
@@ -9,7 +9,7 @@
  * @param messages sent and received
  * @param refused connections closed for a bad frame or signature
  */
-public record PeerTraffic(AtomicLong bytes, AtomicLong messages, AtomicLong refused) {
+public record PeerTraffic(AtomicLong bytes, AtomicLong messages, AtomicLong rejected) {
   public PeerTraffic() {
     this(new AtomicLong(), new AtomicLong(), new AtomicLong());
   }
--- a/core/src/main/java/org/magnoliaswitch/core/process/ControlPlane.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ControlPlane.java
@@ -15,7 +15,7 @@
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.core.clock.HybridClock;
 import org.magnoliaswitch.core.peer.Address;
-import org.magnoliaswitch.core.peer.LeavingMark;
+import org.magnoliaswitch.core.peer.LeavingNotice;
 import org.magnoliaswitch.core.peer.Member;
 import org.magnoliaswitch.core.peer.PeerClient;
 import org.magnoliaswitch.core.peer.PeerMessage;
@@ -206,11 +206,11 @@
             .collect(Collectors.toSet());
     boolean news = false;
     for (String id : leavingNow) {
-      news |= tell(id, true, leaving.noticed(id, LeavingMark.Sign.LIST));
+      news |= tell(id, true, leaving.noticed(id, LeavingNotice.Source.LIST));
     }
-    for (String id : leaving.leavingBy(LeavingMark.Sign.LIST)) {
+    for (String id : leaving.leavingBy(LeavingNotice.Source.LIST)) {
       if (!leavingNow.contains(id)) {
-        news |= tell(id, false, leaving.returned(id, LeavingMark.Sign.LIST));
+        news |= tell(id, false, leaving.returned(id, LeavingNotice.Source.LIST));
       }
     }
     if (news) {
--- a/core/src/main/java/org/magnoliaswitch/core/process/Gossip.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Gossip.java
@@ -10,7 +10,7 @@
 import java.util.random.RandomGenerator;
 import org.magnoliaswitch.core.peer.Address;
 import org.magnoliaswitch.core.peer.GossipDigest;
-import org.magnoliaswitch.core.peer.LeavingMark;
+import org.magnoliaswitch.core.peer.LeavingNotice;
 import org.magnoliaswitch.core.peer.Member;
 import org.magnoliaswitch.core.peer.PeerClient;
 import org.magnoliaswitch.core.peer.PeerMessage;
@@ -157,7 +157,7 @@
     for (Member member : received.members()) {
       news |= mergeMember(member);
     }
-    for (LeavingMark mark : received.leaving()) {
+    for (LeavingNotice mark : received.leaving()) {
       if (leaving.merge(mark)) {
         timeline.record(
             EventKind.SERVER_LEAVING, "", "", mark.server(), "sign=peer leaving=" + mark.leaving());
@@ -204,7 +204,7 @@
     List<Address> known = new ArrayList<>(membership.peerAddresses());
     List<Address> others = new ArrayList<>(seeds);
     others.remove(membership.self().peerAddress());
-    List<Address> kept = new ArrayList<>(client.keptPeers());
+    List<Address> kept = new ArrayList<>(client.connectedPeers());
     kept.retainAll(known);
     List<Address> picked = new ArrayList<>();
     for (int tries = 0; tries < 3 * count && picked.size() < count; tries++) {
--- a/core/src/main/java/org/magnoliaswitch/core/process/LeavingServers.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/LeavingServers.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import org.magnoliaswitch.core.clock.Clocks;
-import org.magnoliaswitch.core.peer.LeavingMark;
-import org.magnoliaswitch.core.peer.LeavingMark.Sign;
+import org.magnoliaswitch.core.peer.LeavingNotice;
+import org.magnoliaswitch.core.peer.LeavingNotice.Source;
 
 /**
  * Backend servers that leave, by whatever sign came first.
@@ -26,37 +26,37 @@
 
   private static final int MAX_SPREAD = 12;
 
-  private record Key(String server, Sign sign) {}
+  private record Key(String server, Source sign) {}
 
   private final Clocks clocks;
-  private final Map<Key, LeavingMark> marks = new ConcurrentHashMap<>();
+  private final Map<Key, LeavingNotice> marks = new ConcurrentHashMap<>();
 
   public LeavingServers(Clocks clocks) {
     this.clocks = clocks;
   }
 
   /** Notes a first-hand sign that a server leaves; true when it is news worth telling. */
-  public boolean noticed(String server, Sign sign) {
-    return note(new LeavingMark(server, sign, clocks.millis(), true));
+  public boolean noticed(String server, Source sign) {
+    return note(new LeavingNotice(server, sign, clocks.millis(), true));
   }
 
   /** Notes a first-hand sign that a server does not leave (any more); true when it is news. */
-  public boolean returned(String server, Sign sign) {
-    LeavingMark known = marks.get(new Key(server, sign));
+  public boolean returned(String server, Source sign) {
+    LeavingNotice known = marks.get(new Key(server, sign));
     return known != null
         && known.leaving()
-        && note(new LeavingMark(server, sign, clocks.millis(), false));
+        && note(new LeavingNotice(server, sign, clocks.millis(), false));
   }
 
   /** Takes a mark from a peer; true when it changes what is known. */
-  public boolean merge(LeavingMark mark) {
+  public boolean merge(LeavingNotice mark) {
     if (expired(mark)) {
       return false;
     }
-    LeavingMark[] before = new LeavingMark[1];
-    LeavingMark after =
+    LeavingNotice[] before = new LeavingNotice[1];
+    LeavingNotice after =
         marks.merge(
-            new Key(mark.server(), mark.sign()),
+            new Key(mark.server(), mark.source()),
             mark,
             (old, fresh) -> {
               before[0] = old;
@@ -71,8 +71,8 @@
     if (marks.isEmpty()) {
       return false;
     }
-    for (Sign sign : Sign.values()) {
-      LeavingMark mark = marks.get(new Key(server, sign));
+    for (Source sign : Source.values()) {
+      LeavingNotice mark = marks.get(new Key(server, sign));
       if (mark != null && mark.leaving() && !expired(mark)) {
         return true;
       }
@@ -81,23 +81,23 @@
   }
 
   /** Servers that leave by one kind of sign. */
-  public List<String> leavingBy(Sign sign) {
+  public List<String> leavingBy(Source sign) {
     return marks.values().stream()
-        .filter(mark -> mark.sign() == sign && mark.leaving() && !expired(mark))
-        .map(LeavingMark::server)
+        .filter(mark -> mark.source() == sign && mark.leaving() && !expired(mark))
+        .map(LeavingNotice::server)
         .toList();
   }
 
   /** The most recent marks, bounded. */
-  public List<LeavingMark> recent() {
+  public List<LeavingNotice> recent() {
     marks.values().removeIf(this::expired);
-    List<LeavingMark> recent = new ArrayList<>(marks.values());
-    recent.sort(Comparator.comparingLong(LeavingMark::atMillis).reversed());
+    List<LeavingNotice> recent = new ArrayList<>(marks.values());
+    recent.sort(Comparator.comparingLong(LeavingNotice::atMillis).reversed());
     return recent.subList(0, Math.min(MAX_SPREAD, recent.size()));
   }
 
-  private boolean note(LeavingMark mark) {
-    LeavingMark known = marks.get(new Key(mark.server(), mark.sign()));
+  private boolean note(LeavingNotice mark) {
+    LeavingNotice known = marks.get(new Key(mark.server(), mark.source()));
     boolean fresh =
         known != null
             && known.leaving() == mark.leaving()
@@ -105,7 +105,7 @@
     return !fresh && merge(mark);
   }
 
-  private boolean expired(LeavingMark mark) {
+  private boolean expired(LeavingNotice mark) {
     return clocks.millis() - mark.atMillis() >= MARK_MILLIS;
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/Membership.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Membership.java
@@ -52,7 +52,7 @@
 
   /** This instance, with a heartbeat of now. */
   public Member self() {
-    return self.beat(clocks.millis(), leaving ? MemberState.LEAVING : MemberState.SERVING);
+    return self.withHeartbeat(clocks.millis(), leaving ? MemberState.LEAVING : MemberState.SERVING);
   }
 
   /** Makes this instance tell others that it leaves; final. */
--- a/core/src/main/java/org/magnoliaswitch/core/process/Prober.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Prober.java
@@ -11,7 +11,7 @@
 import org.apache.hc.core5.http.message.BasicClassicHttpRequest;
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.core.connection.BackendConnection;
-import org.magnoliaswitch.core.peer.LeavingMark;
+import org.magnoliaswitch.core.peer.LeavingNotice;
 import org.magnoliaswitch.core.version.MeasuringBudget;
 import org.magnoliaswitch.core.version.ServerState;
 
@@ -130,8 +130,8 @@
     handle.load().reported(told, clocks.nanos());
     boolean news =
         told.draining()
-            ? leaving.noticed(handle.id(), LeavingMark.Sign.REPORT)
-            : leaving.returned(handle.id(), LeavingMark.Sign.REPORT);
+            ? leaving.noticed(handle.id(), LeavingNotice.Source.REPORT)
+            : leaving.returned(handle.id(), LeavingNotice.Source.REPORT);
     if (news) {
       timeline.record(
           EventKind.SERVER_LEAVING,
--- a/core/src/main/java/org/magnoliaswitch/core/request/AttemptRunner.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/AttemptRunner.java
@@ -10,7 +10,7 @@
 import org.jspecify.annotations.Nullable;
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.core.crash.Verdict;
-import org.magnoliaswitch.core.peer.LeavingMark;
+import org.magnoliaswitch.core.peer.LeavingNotice;
 import org.magnoliaswitch.core.process.EjectionPolicy;
 import org.magnoliaswitch.core.process.EventKind;
 import org.magnoliaswitch.core.process.LeavingServers;
@@ -260,8 +260,8 @@
     private void noteLeaving(boolean draining) {
       boolean news =
           draining
-              ? leaving.noticed(server.id(), LeavingMark.Sign.REPORT)
-              : leaving.returned(server.id(), LeavingMark.Sign.REPORT);
+              ? leaving.noticed(server.id(), LeavingNotice.Source.REPORT)
+              : leaving.returned(server.id(), LeavingNotice.Source.REPORT);
       if (news) {
         event(EventKind.SERVER_LEAVING, "sign=report leaving=" + draining);
         leavingNews.run();
--- a/core/src/test/java/org/magnoliaswitch/core/operator/SpreadTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/operator/SpreadTest.java
@@ -18,7 +18,7 @@
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.core.crash.RequestIdentity;
 import org.magnoliaswitch.core.peer.Address;
-import org.magnoliaswitch.core.peer.LeavingMark;
+import org.magnoliaswitch.core.peer.LeavingNotice;
 import org.magnoliaswitch.core.peer.PeerSecret;
 import org.magnoliaswitch.core.process.ControlPlane;
 import org.magnoliaswitch.core.process.GossipSettings;
@@ -95,7 +95,7 @@
     start(4);
     platform.down(true);
     await(() -> instances.stream().allMatch(i -> i.state().membership().size() == 4));
-    instances.getFirst().state().leaving().noticed("server-1", LeavingMark.Sign.OPERATOR);
+    instances.getFirst().state().leaving().noticed("server-1", LeavingNotice.Source.OPERATOR);
     instances.getFirst().gossip().pushNews();
     await(() -> instances.stream().allMatch(i -> i.state().leaving().leaving("server-1")));
   }
--- a/core/src/test/java/org/magnoliaswitch/core/peer/PeerProtocolTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/peer/PeerProtocolTest.java
@@ -49,7 +49,7 @@
                 7,
                 "d",
                 List.of(MEMBER),
-                List.of(new LeavingMark("s", LeavingMark.Sign.LIST, 8, true))))
+                List.of(new LeavingNotice("s", LeavingNotice.Source.LIST, 8, true))))
       },
       {new PeerMessage.FetchContent(List.of("a", "b"))},
       {new PeerMessage.ClaimKeys(List.of(new Claim("k", "i", "f", 0, 60)), 5, 100)},
@@ -117,12 +117,12 @@
         // Closed with bytes unread, which resets it.
       }
     }
-    assertTrue(traffic.refused().get() > 200, "refused " + traffic.refused().get());
+    assertTrue(traffic.rejected().get() > 200, "refused " + traffic.rejected().get());
     aCallGetsItsReply();
   }
 
   private void awaitRefused(long count) {
-    while (traffic.refused().get() < count) {
+    while (traffic.rejected().get() < count) {
       Thread.onSpinWait();
     }
   }
--- a/core/src/test/java/org/magnoliaswitch/core/process/LeavingServersTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/LeavingServersTest.java
@@ -5,8 +5,8 @@
 import static org.testng.Assert.assertTrue;
 
 import java.time.Duration;
-import org.magnoliaswitch.core.peer.LeavingMark;
-import org.magnoliaswitch.core.peer.LeavingMark.Sign;
+import org.magnoliaswitch.core.peer.LeavingNotice;
+import org.magnoliaswitch.core.peer.LeavingNotice.Source;
 import org.magnoliaswitch.core.testing.ManualClock;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -24,8 +24,8 @@
 
   @Test
   public void theFirstSignIsNews() {
-    assertTrue(leaving.noticed("a", Sign.REPORT));
-    assertFalse(leaving.noticed("a", Sign.REPORT));
+    assertTrue(leaving.noticed("a", Source.REPORT));
+    assertFalse(leaving.noticed("a", Source.REPORT));
   }
 
   /**
@@ -34,7 +34,7 @@
    */
   @Test
   public void peersCannotKeepAMarkAlive() {
-    LeavingMark mark = new LeavingMark("b", Sign.REPORT, time.millis(), true);
+    LeavingNotice mark = new LeavingNotice("b", Source.REPORT, time.millis(), true);
     for (int i = 0; i < 40; i++) {
       leaving.merge(mark);
       time.advance(Duration.ofSeconds(1));
@@ -48,32 +48,32 @@
    */
   @Test
   public void aServerThatComesBackGetsWorkAgain() {
-    leaving.noticed("c", Sign.REPORT);
+    leaving.noticed("c", Source.REPORT);
     time.advance(Duration.ofSeconds(1));
-    assertTrue(leaving.returned("c", Sign.REPORT));
+    assertTrue(leaving.returned("c", Source.REPORT));
     assertFalse(leaving.leaving("c"));
   }
 
   @Test
   public void theServersOwnWordDoesNotUndoTheList() {
-    leaving.noticed("d", Sign.LIST);
+    leaving.noticed("d", Source.LIST);
     time.advance(Duration.ofSeconds(1));
-    leaving.returned("d", Sign.REPORT);
+    leaving.returned("d", Source.REPORT);
     assertTrue(leaving.leaving("d"));
   }
 
   /** Old news of a departure arrives after news of the return. */
   @Test
   public void laterNewsWinsWhateverTheOrder() {
-    leaving.merge(new LeavingMark("e", Sign.REPORT, time.millis() + 5, false));
-    leaving.merge(new LeavingMark("e", Sign.REPORT, time.millis(), true));
+    leaving.merge(new LeavingNotice("e", Source.REPORT, time.millis() + 5, false));
+    leaving.merge(new LeavingNotice("e", Source.REPORT, time.millis(), true));
     assertFalse(leaving.leaving("e"));
   }
 
   @Test
   public void spreadsABoundedNumberOfMarks() {
     for (int i = 0; i < 100; i++) {
-      leaving.noticed("server-" + i, Sign.LIST);
+      leaving.noticed("server-" + i, Source.LIST);
     }
     assertEquals(leaving.recent().size(), 12);
   }
--- a/core/src/test/java/org/magnoliaswitch/core/process/MembershipTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/MembershipTest.java
@@ -37,14 +37,14 @@
   public void olderNewsCannotUndoLeaving() {
     membership.merge(member("a", 1));
     assertEquals(
-        membership.merge(member("a", 1).beat(2, MemberState.LEAVING)), Membership.Change.LEFT);
+        membership.merge(member("a", 1).withHeartbeat(2, MemberState.LEAVING)), Membership.Change.LEFT);
     membership.merge(member("a", 3));
     assertTrue(membership.livePeers().isEmpty());
   }
 
   @Test
   public void aRestartUnderTheSameAddressIsAnotherMember() {
-    membership.merge(member("first", 1).beat(2, MemberState.LEAVING));
+    membership.merge(member("first", 1).withHeartbeat(2, MemberState.LEAVING));
     assertEquals(membership.merge(member("second", 1)), Membership.Change.JOINED);
     assertEquals(membership.livePeers().size(), 1);
   }
--- a/entry/src/main/java/org/magnoliaswitch/entry/EntryMetrics.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/EntryMetrics.java
@@ -58,7 +58,7 @@
     Gauge.builder("magnolia.peer.bytes", () -> control.traffic().bytes().get()).register(registry);
     Gauge.builder("magnolia.peer.messages", () -> control.traffic().messages().get())
         .register(registry);
-    Gauge.builder("magnolia.peer.refused", () -> control.traffic().refused().get())
+    Gauge.builder("magnolia.peer.refused", () -> control.traffic().rejected().get())
         .register(registry);
     Gauge.builder("magnolia.probes", () -> control.prober().sent()).register(registry);
     Gauge.builder("magnolia.claim.transactions", () -> control.batcher().transactions())
--- a/entry/src/main/java/org/magnoliaswitch/entry/OperatorResource.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/OperatorResource.java
@@ -10,7 +10,7 @@
 import jakarta.ws.rs.core.Response;
 import java.util.List;
 import org.magnoliaswitch.core.operator.InstanceStatus;
-import org.magnoliaswitch.core.peer.LeavingMark;
+import org.magnoliaswitch.core.peer.LeavingNotice;
 import org.magnoliaswitch.core.process.ControlPlane;
 import org.magnoliaswitch.core.process.EventKind;
 import org.magnoliaswitch.core.process.TimelineEvent;
@@ -83,7 +83,7 @@
   @POST
   @Path("servers/{id}/leaving")
   public Response leaving(@PathParam("id") String id) {
-    if (control.state().leaving().noticed(id, LeavingMark.Sign.OPERATOR)) {
+    if (control.state().leaving().noticed(id, LeavingNotice.Source.OPERATOR)) {
       control.state().timeline().record(EventKind.SERVER_LEAVING, "", "", id, "sign=operator");
       control.gossip().pushNews();
     }
