--- a/core/src/main/java/org/magnoliaswitch/core/request/OnceGate.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/AtMostOnceExecutor.java
@@ -33,7 +33,7 @@
  * from its records. Nothing here depends on time: a paused holder that wakes up is still the only
  * one.
  */
-public final class OnceGate {
+public final class AtMostOnceExecutor {
   private static final int UNPROCESSABLE = 422;
   private static final int PRECONDITION_REQUIRED = 428;
   private static final int CONFLICT = 409;
@@ -54,16 +54,16 @@
    * @param holders way to other instances
    * @param waiting waits for a request under the same key
    */
-  public record Parts(
+  public record Dependencies(
       KeyIssuer issuer,
       OutcomeLedger ledger,
       KeyClaims claims,
       OutcomeRecords records,
       Membership membership,
-      KeyHolders holders,
-      RunWait waiting) {}
+      KeyHolderClient holderClient,
+      OutcomeAwaiter outcomeAwaiter) {}
 
-  private final Parts parts;
+  private final Dependencies dependencies;
   private final Function<InboundRequest, Reply> execute;
   private final boolean callersBalancerResends;
   private final Clocks clocks;
@@ -75,13 +75,13 @@
    * @param callersBalancerResends whether the balancer in front may send a request twice by itself;
    *     then a caller's word that it is a first attempt proves nothing
    */
-  public OnceGate(
-      Parts parts,
+  public AtMostOnceExecutor(
+      Dependencies parts,
       Function<InboundRequest, Reply> execute,
       boolean callersBalancerResends,
       Clocks clocks,
       Timeline timeline) {
-    this.parts = parts;
+    this.dependencies = parts;
     this.execute = execute;
     this.callersBalancerResends = callersBalancerResends;
     this.clocks = clocks;
@@ -96,40 +96,41 @@
     }
     if (request.key().isEmpty()) {
       return policy.required()
-          ? Reply.own(
+          ? Reply.local(
               PRECONDITION_REQUIRED, Outcome.NOT_EXECUTED, "an Idempotency-Key is needed", 0)
           : execute.apply(request);
     }
     String key = request.key().get();
-    Optional<KeyIssuer.IssuedKey> issued = parts.issuer().parse(key);
+    Optional<KeyIssuer.IssuedKey> issued = dependencies.issuer().parse(key);
     String scoped = request.service().service().name() + '/' + key;
-    Keyed keyed = new Keyed(request, scoped, fingerprint(request), policy);
+    KeyedRequest keyed = new KeyedRequest(request, scoped, fingerprint(request), policy);
     if (issued.isEmpty()) {
-      return local(keyed, true);
+      return executeLocally(keyed, true);
     }
     if (!issued.get().incarnation().equals(self())) {
-      return elsewhere(keyed, issued.get().incarnation(), Optional.empty());
+      return askHolder(keyed, issued.get().incarnation(), Optional.empty());
     }
-    return parts.issuer().expired(issued.get(), policy.retentionSeconds())
-        ? Reply.own(GONE, Outcome.UNKNOWN, "the key is older than outcomes are kept", 0)
-        : local(keyed, false);
+    return dependencies.issuer().expired(issued.get(), policy.retentionSeconds())
+        ? Reply.local(GONE, Outcome.UNKNOWN, "the key is older than outcomes are kept", 0)
+        : executeLocally(keyed, false);
   }
 
-  private record Keyed(InboundRequest request, String key, String fingerprint, KeyPolicy policy) {}
+  private record KeyedRequest(
+      InboundRequest request, String key, String fingerprint, KeyPolicy policy) {}
 
-  private Reply local(Keyed keyed, boolean needsClaim) {
+  private Reply executeLocally(KeyedRequest keyed, boolean needsClaim) {
     for (int joins = 0; joins < MAX_JOINS; joins++) {
       OutcomeLedger.Admission admission =
-          parts
+          dependencies
               .ledger()
               .begin(
                   keyed.key(),
                   keyed.fingerprint(),
                   keyed.policy().retentionSeconds(),
-                  order(keyed.request()));
+                  attemptNumber(keyed.request()));
       switch (admission) {
         case OutcomeLedger.Admission.Execute execution -> {
-          return needsClaim ? claimAndRun(keyed, 0) : run(keyed);
+          return needsClaim ? claimAndExecute(keyed, 0) : executeAndRecord(keyed);
         }
         case OutcomeLedger.Admission.Known known -> {
           return replay(known.outcome());
@@ -138,18 +139,19 @@
           return mismatch();
         }
         case OutcomeLedger.Admission.Join join -> {
-          KeyOutcome outcome = parts.waiting().await(join.result(), keyed.request().deadline());
+          KeyOutcome outcome =
+              dependencies.outcomeAwaiter().await(join.result(), keyed.request().deadline());
           if (!(outcome instanceof KeyOutcome.NotExecuted)) {
             return replay(outcome);
           }
         }
       }
     }
-    return Reply.own(UNAVAILABLE, Outcome.UNKNOWN, "the key is in use", RETRY_AFTER_SECONDS);
+    return Reply.local(UNAVAILABLE, Outcome.UNKNOWN, "the key is in use", RETRY_AFTER_SECONDS);
   }
 
   /** Claims the key for this incarnation; the ledger has a run open that must be ended here. */
-  private Reply claimAndRun(Keyed keyed, long replacesRow) {
+  private Reply claimAndExecute(KeyedRequest keyed, long replacesRow) {
     InboundRequest request = keyed.request();
     Claim claim =
         new Claim(
@@ -159,20 +161,21 @@
             replacesRow,
             keyed.policy().retentionSeconds());
     long wait = request.deadline().remaining(clocks.nanos()) / 2;
-    ClaimResult result = parts.claims().claim(claim, keyed.policy().claimWindowMillis(), wait);
-    event(keyed, EventKind.CLAIMED, "status=" + result.status());
+    ClaimResult result =
+        dependencies.claims().claim(claim, keyed.policy().claimWindowMillis(), wait);
+    recordEvent(keyed, EventKind.CLAIMED, "status=" + result.status());
     return switch (result.status()) {
-      case GRANTED -> run(keyed);
+      case GRANTED -> executeAndRecord(keyed);
       case HELD -> {
-        parts.ledger().withdraw(keyed.key());
+        dependencies.ledger().withdraw(keyed.key());
         yield result.fingerprint().equals(keyed.fingerprint())
-            ? elsewhere(keyed, result.holder(), Optional.of(result))
+            ? askHolder(keyed, result.holder(), Optional.of(result))
             : mismatch();
       }
       case UNAVAILABLE -> {
         // Not a refusal of this key's holder: another instance may hold the key and have run it.
-        parts.ledger().withdraw(keyed.key());
-        yield unavailable(request);
+        dependencies.ledger().withdraw(keyed.key());
+        yield claimUnavailable(request);
       }
     };
   }
@@ -182,35 +185,35 @@
    * was, nobody can tell without the table, unless the caller says that there was none and nothing
    * in between sends requests twice.
    */
-  private Reply unavailable(InboundRequest request) {
+  private Reply claimUnavailable(InboundRequest request) {
     boolean first = request.attempt().declared() && request.attempt().number() == 1;
     String reason = "keys cannot be claimed now";
     return first && !callersBalancerResends
-        ? Reply.own(UNAVAILABLE, Outcome.NOT_EXECUTED, reason, RETRY_AFTER_SECONDS)
-        : Reply.copyNotExecuted(UNAVAILABLE, reason, RETRY_AFTER_SECONDS);
+        ? Reply.local(UNAVAILABLE, Outcome.NOT_EXECUTED, reason, RETRY_AFTER_SECONDS)
+        : Reply.attemptNotExecuted(UNAVAILABLE, reason, RETRY_AFTER_SECONDS);
   }
 
-  private Reply run(Keyed keyed) {
+  private Reply executeAndRecord(KeyedRequest keyed) {
     KeyOutcome outcome = new KeyOutcome.Unknown();
     try {
       Reply reply = execute.apply(keyed.request());
       outcome = outcomeOf(keyed.request(), reply);
       return reply;
     } finally {
-      parts.ledger().finish(keyed.key(), outcome);
+      dependencies.ledger().finish(keyed.key(), outcome);
     }
   }
 
   private static KeyOutcome outcomeOf(InboundRequest request, Reply reply) {
     return switch (reply.outcome()) {
-      case EXECUTED -> new KeyOutcome.Executed(stored(reply));
+      case EXECUTED -> new KeyOutcome.Executed(toStoredAnswer(reply));
       case NOT_EXECUTED -> notExecuted(request);
       case UNKNOWN -> new KeyOutcome.Unknown();
     };
   }
 
   /** A sender that does not count its attempts is taken to know of earlier refusals. */
-  private static int order(InboundRequest request) {
+  private static int attemptNumber(InboundRequest request) {
     return request.attempt().declared() ? request.attempt().number() : Integer.MAX_VALUE;
   }
 
@@ -219,8 +222,8 @@
         request.attempt().declared() ? request.attempt().number() : 0);
   }
 
-  private static Optional<StoredAnswer> stored(Reply reply) {
-    byte[] body = reply.whole();
+  private static Optional<StoredAnswer> toStoredAnswer(Reply reply) {
+    byte[] body = reply.bufferedBody();
     if (body == null) {
       return Optional.empty();
     }
@@ -232,52 +235,55 @@
   }
 
   /** The key belongs to another incarnation: ask it, or its records when it is gone. */
-  private Reply elsewhere(Keyed keyed, String holder, Optional<ClaimResult> claim) {
+  private Reply askHolder(KeyedRequest keyed, String holder, Optional<ClaimResult> claim) {
     InboundRequest request = keyed.request();
     boolean passedOn = request.field(HolderForwarder.HOP_HEADER).isPresent();
-    Optional<Member> member = parts.membership().live(holder);
+    Optional<Member> member = dependencies.membership().live(holder);
     if (member.isPresent() && !passedOn) {
-      event(keyed, EventKind.FORWARDED, "holder=" + holder);
-      AttemptResult result = parts.holders().forward(request, member.get());
+      recordEvent(keyed, EventKind.FORWARDED, "holder=" + holder);
+      AttemptResult result = dependencies.holderClient().forward(request, member.get());
       if (result instanceof AttemptResult.Answered answered) {
         return answered.reply();
       }
       if (!(result instanceof AttemptResult.NotSent)) {
-        return Reply.own(TIMEOUT, Outcome.UNKNOWN, "no answer from the key's holder", 0);
+        return Reply.local(TIMEOUT, Outcome.UNKNOWN, "no answer from the key's holder", 0);
       }
     }
-    return fromRecords(keyed, holder, claim);
+    return answerFromRecords(keyed, holder, claim);
   }
 
-  private Reply fromRecords(Keyed keyed, String holder, Optional<ClaimResult> claim) {
+  private Reply answerFromRecords(KeyedRequest keyed, String holder, Optional<ClaimResult> claim) {
     try {
-      OutcomeRecords.Lookup lookup = parts.records().lookup(holder, keyed.key());
+      OutcomeRecords.Lookup lookup = dependencies.records().lookup(holder, keyed.key());
       if (lookup.finished().isPresent()) {
-        return fromRecord(keyed, lookup.finished().get(), lookup.complete(), claim);
+        return answerFromRecord(keyed, lookup.finished().get(), lookup.complete(), claim);
       }
       return lookup.complete()
-          ? neverRun(keyed, claim)
-          : Reply.own(
+          ? takeOverUnexecuted(keyed, claim)
+          : Reply.local(
               UNAVAILABLE, Outcome.UNKNOWN, "the key's holder is gone", RETRY_AFTER_SECONDS);
     } catch (PlatformException e) {
-      return Reply.own(
+      return Reply.local(
           UNAVAILABLE, Outcome.UNKNOWN, "the key's records cannot be read", RETRY_AFTER_SECONDS);
     }
   }
 
-  private Reply fromRecord(
-      Keyed keyed, OutcomeLedger.Finished finished, boolean complete, Optional<ClaimResult> claim) {
+  private Reply answerFromRecord(
+      KeyedRequest keyed,
+      OutcomeLedger.Finished finished,
+      boolean complete,
+      Optional<ClaimResult> claim) {
     if (!finished.fingerprint().equals(keyed.fingerprint())) {
       return mismatch();
     }
     if (finished.outcome() instanceof KeyOutcome.NotExecuted refused) {
-      if (claim.isPresent() && order(keyed.request()) <= refused.attempt()) {
+      if (claim.isPresent() && attemptNumber(keyed.request()) <= refused.attempt()) {
         return replay(refused);
       }
       // Without the mark of an orderly stop the holder may have run it after this record.
       return complete
-          ? neverRun(keyed, claim)
-          : Reply.own(
+          ? takeOverUnexecuted(keyed, claim)
+          : Reply.local(
               UNAVAILABLE, Outcome.UNKNOWN, "the key's holder is gone", RETRY_AFTER_SECONDS);
     }
     return replay(finished.outcome());
@@ -288,21 +294,21 @@
    * by replacing the very row that was read; an issued key stays unusable, since two survivors
    * could otherwise both run it.
    */
-  private Reply neverRun(Keyed keyed, Optional<ClaimResult> claim) {
+  private Reply takeOverUnexecuted(KeyedRequest keyed, Optional<ClaimResult> claim) {
     if (claim.isEmpty()) {
-      return Reply.own(CONFLICT, Outcome.NOT_EXECUTED, "use a new key: its instance is gone", 0);
+      return Reply.local(CONFLICT, Outcome.NOT_EXECUTED, "use a new key: its instance is gone", 0);
     }
     OutcomeLedger.Admission admission =
-        parts
+        dependencies
             .ledger()
             .begin(
                 keyed.key(),
                 keyed.fingerprint(),
                 keyed.policy().retentionSeconds(),
-                order(keyed.request()));
+                attemptNumber(keyed.request()));
     return admission instanceof OutcomeLedger.Admission.Execute
-        ? claimAndRun(keyed, claim.get().row())
-        : Reply.own(UNAVAILABLE, Outcome.UNKNOWN, "the key is in use", RETRY_AFTER_SECONDS);
+        ? claimAndExecute(keyed, claim.get().row())
+        : Reply.local(UNAVAILABLE, Outcome.UNKNOWN, "the key is in use", RETRY_AFTER_SECONDS);
   }
 
   /** The answer for a key whose outcome is known. */
@@ -311,37 +317,38 @@
       case KeyOutcome.Executed executed ->
           executed
               .answer()
-              .map(OnceGate::restored)
+              .map(AtMostOnceExecutor::fromStoredAnswer)
               .orElseGet(
                   () ->
-                      Reply.own(CONFLICT, Outcome.EXECUTED, "the answer was too large to keep", 0));
+                      Reply.local(
+                          CONFLICT, Outcome.EXECUTED, "the answer was too large to keep", 0));
       case KeyOutcome.NotExecuted none ->
-          Reply.own(UNAVAILABLE, Outcome.NOT_EXECUTED, "not executed", RETRY_AFTER_SECONDS);
+          Reply.local(UNAVAILABLE, Outcome.NOT_EXECUTED, "not executed", RETRY_AFTER_SECONDS);
       case KeyOutcome.Unknown unknown ->
-          Reply.own(CONFLICT, Outcome.UNKNOWN, "sent once, and no whole answer came", 0);
+          Reply.local(CONFLICT, Outcome.UNKNOWN, "sent once, and no whole answer came", 0);
       case KeyOutcome.Running running ->
-          Reply.own(CONFLICT, Outcome.UNKNOWN, "at work", RETRY_AFTER_SECONDS);
+          Reply.local(CONFLICT, Outcome.UNKNOWN, "at work", RETRY_AFTER_SECONDS);
     };
   }
 
-  private static Reply restored(StoredAnswer answer) {
+  private static Reply fromStoredAnswer(StoredAnswer answer) {
     List<Field> fields = new ArrayList<>();
     answer.fields().forEach((name, value) -> fields.add(new Field(name, value)));
     fields.add(new Field("Idempotency-Replayed", "true"));
     return new Reply(
-        answer.status(), fields, new Reply.Body.Whole(answer.body()), Outcome.EXECUTED);
+        answer.status(), fields, new Reply.Body.Buffered(answer.body()), Outcome.EXECUTED);
   }
 
   private static Reply mismatch() {
-    return Reply.own(
+    return Reply.local(
         UNPROCESSABLE, Outcome.NOT_EXECUTED, "the key was used for another request", 0);
   }
 
   private String self() {
-    return parts.membership().self().incarnation();
+    return dependencies.membership().self().incarnation();
   }
 
-  private void event(Keyed keyed, EventKind kind, String detail) {
+  private void recordEvent(KeyedRequest keyed, EventKind kind, String detail) {
     timeline.record(
         kind, keyed.request().id(), keyed.request().service().service().name(), "", detail);
   }
@@ -349,7 +356,7 @@
   private static String fingerprint(InboundRequest request) {
     Hasher hasher = Hashing.sha256().newHasher();
     hasher.putString(request.method() + ' ' + request.target() + '\n', StandardCharsets.UTF_8);
-    if (request.body() instanceof InboundRequest.Body.Whole whole) {
+    if (request.body() instanceof InboundRequest.Body.Buffered whole) {
       hasher.putBytes(whole.content());
     }
     return hasher.hash().toString().substring(0, 32);
--- a/core/src/main/java/org/magnoliaswitch/core/request/AttemptRunner.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/AttemptRunner.java
@@ -36,7 +36,7 @@
   /** A connection that answered so recently is taken to be alive for work that must not be lost. */
   private static final long FRESH_CONNECTION_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  private static final long ANY_IDLE_NANOS = Long.MAX_VALUE;
+  private static final long UNLIMITED_IDLE_NANOS = Long.MAX_VALUE;
 
   /**
    * Servers are declared with an id that they keep over a restart, so an answer does not show that
@@ -47,21 +47,21 @@
   private final Clocks clocks;
   private final Timeline timeline;
   private final LeavingServers leaving;
-  private final Runnable leavingNews;
+  private final Runnable onLeavingChange;
 
   public AttemptRunner(
       Clocks clocks, Timeline timeline, LeavingServers leaving, Runnable leavingNews) {
     this.clocks = clocks;
     this.timeline = timeline;
     this.leaving = leaving;
-    this.leavingNews = leavingNews;
+    this.onLeavingChange = leavingNews;
   }
 
   /** Called while an attempt waits longer than the hedge delay. */
   @FunctionalInterface
-  public interface SlowListener {
+  public interface SlowAttemptListener {
     /** Told once. */
-    void slow();
+    void onSlow();
   }
 
   /** One attempt that can be cancelled from another thread. */
@@ -96,38 +96,39 @@
      *
      * @param slowAfterNanos wait after which the listener is told, {@link Long#MAX_VALUE} for never
      */
-    public AttemptResult run(long slowAfterNanos, SlowListener listener) {
+    public AttemptResult run(long slowAfterNanos, SlowAttemptListener listener) {
       long started = clocks.nanos();
       server.load().sent();
-      event(EventKind.ATTEMPT_SENT, "attempt=" + number);
-      AttemptResult result = exchangeAll(slowAfterNanos, listener);
-      learn(result, started);
-      event(EventKind.ATTEMPT_ENDED, "attempt=" + number + " result=" + describe(result));
+      recordEvent(EventKind.ATTEMPT_SENT, "attempt=" + number);
+      AttemptResult result = performExchange(slowAfterNanos, listener);
+      recordResult(result, started);
+      recordEvent(EventKind.ATTEMPT_ENDED, "attempt=" + number + " result=" + describe(result));
       return result;
     }
 
-    private AttemptResult exchangeAll(long slowAfterNanos, SlowListener listener) {
+    private AttemptResult performExchange(long slowAfterNanos, SlowAttemptListener listener) {
       try {
         exchange.connect(
-            request.idempotent() ? ANY_IDLE_NANOS : FRESH_CONNECTION_NANOS, CONNECT_TIMEOUT_MILLIS);
+            request.idempotent() ? UNLIMITED_IDLE_NANOS : FRESH_CONNECTION_NANOS,
+            CONNECT_TIMEOUT_MILLIS);
         Verdict verdict = crashes.admit();
         if (verdict == Verdict.REFUSED || verdict == Verdict.WAIT) {
           exchange.fail();
-          return new AttemptResult.NotSent(Dispatcher.ENDS_SERVERS);
+          return new AttemptResult.NotSent(Dispatcher.CRASHES_SERVERS);
         }
         warned = verdict == Verdict.TRIAL;
-        exchange.send(Exchange.outbound(request, passedOn()));
+        exchange.send(Exchange.outbound(request, requestHeaders()));
         Exchange.Head head = awaitHead(slowAfterNanos, listener);
         if (head == null) {
           exchange.fail();
           return new AttemptResult.TimedOut();
         }
-        report(head);
+        recordLoadReport(head);
         Reply reply = exchange.receive(head, request.method());
         if (!request.service().profile().refusalStatuses().contains(reply.status())) {
           return new AttemptResult.Answered(reply);
         }
-        notePause(head);
+        applyRetryAfter(head);
         return new AttemptResult.Refused(reply.status());
       } catch (IOException | HttpException e) {
         exchange.fail();
@@ -135,18 +136,18 @@
       }
     }
 
-    private Exchange.@Nullable Head awaitHead(long slowAfterNanos, SlowListener listener)
+    private Exchange.@Nullable Head awaitHead(long slowAfterNanos, SlowAttemptListener listener)
         throws IOException, HttpException {
       Exchange.Head head = exchange.awaitHead(slowAfterNanos);
       if (head != null || request.deadline().expired(clocks.nanos())) {
         return head;
       }
-      listener.slow();
+      listener.onSlow();
       return exchange.awaitHead(Long.MAX_VALUE);
     }
 
     private AttemptResult failure(Exception cause) {
-      if (!exchange.bytesMayHaveLeft()) {
+      if (!exchange.mayHaveSentBytes()) {
         return new AttemptResult.NotSent(cause.toString());
       }
       return request.deadline().expired(clocks.nanos())
@@ -154,7 +155,7 @@
           : new AttemptResult.Broken(cause.toString());
     }
 
-    private List<Field> passedOn() {
+    private List<Field> requestHeaders() {
       long left = TimeUnit.NANOSECONDS.toMillis(request.deadline().remaining(clocks.nanos()));
       List<Field> fields = new ArrayList<>();
       fields.add(new Field("Host", server.server().host() + ':' + server.server().port()));
@@ -165,7 +166,7 @@
       return fields;
     }
 
-    private void report(Exchange.Head head) {
+    private void recordLoadReport(Exchange.Head head) {
       var header = head.response().getFirstHeader(LoadReport.HEADER);
       if (header == null || header.getValue() == null) {
         return;
@@ -175,20 +176,21 @@
           told -> {
             server.load().reported(told, clocks.nanos());
             request.service().admission().reported(told);
-            noteLeaving(told.draining());
+            updateLeaving(told.draining());
           });
     }
 
-    private void notePause(Exchange.Head head) {
+    private void applyRetryAfter(Exchange.Head head) {
       var header = head.response().getFirstHeader(RetryAfterHeader.NAME);
       OptionalLong nanos = RetryAfterHeader.nanos(header == null ? null : header.getValue());
       if (nanos.isPresent()) {
         server.load().pause(nanos.getAsLong(), clocks.nanos());
-        event(EventKind.SERVER_PAUSED, "ms=" + TimeUnit.NANOSECONDS.toMillis(nanos.getAsLong()));
+        recordEvent(
+            EventKind.SERVER_PAUSED, "ms=" + TimeUnit.NANOSECONDS.toMillis(nanos.getAsLong()));
       }
     }
 
-    private void learn(AttemptResult result, long started) {
+    private void recordResult(AttemptResult result, long started) {
       long now = clocks.nanos();
       switch (result) {
         case AttemptResult.Answered answered -> {
@@ -206,17 +208,17 @@
           ejectIfNeeded(now);
         }
         case AttemptResult.Broken broken -> {
-          failedOrCancelled(now, started);
+          recordBroken(now, started);
         }
         case AttemptResult.TimedOut timedOut -> {
           server.load().slow(now - started);
           server.load().abandoned();
-          suspectSilence(started);
+          recordSilence(started);
         }
       }
     }
 
-    private void failedOrCancelled(long now, long started) {
+    private void recordBroken(long now, long started) {
       if (exchange.wasCancelled()) {
         // The other attempt won. How long this one took is a first-hand sign of a slow server.
         server.load().slow(now - started);
@@ -224,27 +226,27 @@
       } else {
         server.load().failed();
         ejectIfNeeded(now);
-        lookWhetherEnded();
+        checkCrashed();
       }
     }
 
     /**
      * Whether the server's process is gone shows by the next connection: one that lives takes it.
      */
-    private void lookWhetherEnded() {
+    private void checkCrashed() {
       crashes.perhapsEnded(server.id());
       boolean ended = server.pool().refusesConnections(CONNECT_TIMEOUT_MILLIS);
       crashes.lookedAt(server.id(), ended, warned);
       if (ended) {
         String identity = crashes.identities().content().toString();
-        event(EventKind.SERVER_ENDED, "identity=" + identity + " warned=" + warned);
+        recordEvent(EventKind.SERVER_ENDED, "identity=" + identity + " warned=" + warned);
       }
     }
 
     /** An exchange without any sign of life casts doubt on connections of the same age. */
-    private void suspectSilence(long started) {
+    private void recordSilence(long started) {
       server.pool().distrustIdleSince(started);
-      event(EventKind.CONNECTION_SILENT, "attempt=" + number);
+      recordEvent(EventKind.CONNECTION_SILENT, "attempt=" + number);
     }
 
     private void ejectIfNeeded(long now) {
@@ -253,22 +255,22 @@
               ejection -> {
                 server.load().eject(ejection);
                 server.load().forgive();
-                event(EventKind.SERVER_EJECTED, "count=" + ejection.count());
+                recordEvent(EventKind.SERVER_EJECTED, "count=" + ejection.count());
               });
     }
 
-    private void noteLeaving(boolean draining) {
+    private void updateLeaving(boolean draining) {
       boolean news =
           draining
               ? leaving.noticed(server.id(), LeavingNotice.Source.REPORT)
               : leaving.returned(server.id(), LeavingNotice.Source.REPORT);
       if (news) {
-        event(EventKind.SERVER_LEAVING, "sign=report leaving=" + draining);
-        leavingNews.run();
+        recordEvent(EventKind.SERVER_LEAVING, "sign=report leaving=" + draining);
+        onLeavingChange.run();
       }
     }
 
-    private void event(EventKind kind, String detail) {
+    private void recordEvent(EventKind kind, String detail) {
       timeline.record(kind, request.id(), request.service().service().name(), server.id(), detail);
     }
   }
--- a/core/src/main/java/org/magnoliaswitch/core/request/Dispatcher.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/Dispatcher.java
@@ -38,7 +38,7 @@
   private static final long NO_TRIAL_NOTICE_NANOS = 0;
 
   /** Why a request under which servers end is not sent. */
-  static final String ENDS_SERVERS = "servers end under this request";
+  static final String CRASHES_SERVERS = "servers end under this request";
 
   private static final int SERVICE_UNAVAILABLE = 503;
   private static final int GATEWAY_TIMEOUT = 504;
@@ -47,7 +47,7 @@
   private static final long MIN_HEDGE_NANOS = 1_000_000L;
 
   /** Quantile of latency that a request needs at least, for it to be worth sending. */
-  private static final double USUAL_QUANTILE = 0.5;
+  private static final double EXPECTED_LATENCY_QUANTILE = 0.5;
 
   private final Clocks clocks;
   private final Timeline timeline;
@@ -79,11 +79,11 @@
     RequestCrashes crashes = crashes(request);
     Verdict allowed = crashes.verdict();
     if (allowed == Verdict.REFUSED || allowed == Verdict.WAIT) {
-      return turnedAway(request, crashes);
+      return reject(request, crashes);
     }
     ServiceAdmission admission = request.service().admission();
     long now = clocks.nanos();
-    long usual = request.service().counters().latency().quantile(USUAL_QUANTILE, now, 0);
+    long usual = request.service().counters().latency().quantile(EXPECTED_LATENCY_QUANTILE, now, 0);
     ServiceAdmission.Verdict verdict =
         admission.admit(request.kind(), request.deadline().atNanos() - usual);
     if (verdict != ServiceAdmission.Verdict.ADMITTED) {
@@ -93,14 +93,14 @@
           request.service().service().name(),
           "",
           "kind=" + request.kind().name() + " verdict=" + verdict);
-      return Reply.own(
+      return Reply.local(
           SERVICE_UNAVAILABLE, Outcome.NOT_EXECUTED, "overloaded", admission.retryAfterSeconds());
     }
     boolean streaming = false;
     try {
       Reply reply = attemptAll(request, crashes);
       streaming = reply.body() instanceof Reply.Body.Streaming;
-      return streaming ? releasing(reply, admission) : reply;
+      return streaming ? releaseOnCompletion(reply, admission) : reply;
     } finally {
       if (!streaming) {
         admission.release();
@@ -117,20 +117,20 @@
   }
 
   /** Told at once, since waiting would not help; nothing of this try has been sent. */
-  private Reply turnedAway(InboundRequest request, RequestCrashes crashes) {
+  private Reply reject(InboundRequest request, RequestCrashes crashes) {
     String service = request.service().service().name();
     timeline.record(EventKind.REQUEST_SHED, request.id(), service, "", "verdict=ENDS_SERVERS");
     long seconds = TimeUnit.NANOSECONDS.toSeconds(crashes.retryAfterNanos());
     int retryAfter = (int) Math.max(1, seconds);
-    return Reply.own(SERVICE_UNAVAILABLE, Outcome.NOT_EXECUTED, ENDS_SERVERS, retryAfter);
+    return Reply.local(SERVICE_UNAVAILABLE, Outcome.NOT_EXECUTED, CRASHES_SERVERS, retryAfter);
   }
 
-  private static Reply releasing(Reply reply, ServiceAdmission admission) {
+  private static Reply releaseOnCompletion(Reply reply, ServiceAdmission admission) {
     Reply.Body.Streaming body = (Reply.Body.Streaming) reply.body();
-    Reply.End end =
+    Reply.CompletionListener end =
         whole -> {
           admission.release();
-          body.end().ended(whole);
+          body.completion().completed(whole);
         };
     return new Reply(
         reply.status(),
@@ -150,7 +150,7 @@
     Set<String> tried = new HashSet<>();
     AttemptResult last = new AttemptResult.NotSent("no server can take it");
     for (int number = 1; number <= policy.maxAttempts(); number++) {
-      if (number > 1 && !(mayRepeat(request, last, outerRetry, crashes) && budget.spend())) {
+      if (number > 1 && !(mayRetry(request, last, outerRetry, crashes) && budget.spend())) {
         break;
       }
       Optional<ServerHandle> server = choose(service, tried);
@@ -158,7 +158,7 @@
         break;
       }
       tried.add(server.get().id());
-      last = worse(last, attempt(request, server.get(), number, tried, budget, crashes));
+      last = combine(last, attempt(request, server.get(), number, tried, budget, crashes));
       if (last instanceof AttemptResult.Answered answered) {
         return answered.reply();
       }
@@ -172,7 +172,7 @@
    * <p>A server's refusal is not repeated within a request that an outer layer retries already:
    * with calls seven deep, retries at each layer would multiply.
    */
-  private static boolean mayRepeat(
+  private static boolean mayRetry(
       InboundRequest request, AttemptResult last, boolean outerRetry, RequestCrashes crashes) {
     return switch (last) {
       case AttemptResult.Answered answered -> false;
@@ -190,7 +190,7 @@
    * <p>Without this, a broken attempt followed by one that was not sent would be told as not
    * executed, although the first may have been.
    */
-  private static AttemptResult worse(AttemptResult earlier, AttemptResult later) {
+  private static AttemptResult combine(AttemptResult earlier, AttemptResult later) {
     boolean earlierMayHaveRun =
         earlier instanceof AttemptResult.Broken || earlier instanceof AttemptResult.TimedOut;
     boolean laterCannotHaveRun =
@@ -289,7 +289,7 @@
     }
     try {
       long left = Math.max(0, request.deadline().remaining(clocks.nanos()));
-      return worse(result, second.result().get(left, TimeUnit.NANOSECONDS));
+      return combine(result, second.result().get(left, TimeUnit.NANOSECONDS));
     } catch (ExecutionException | TimeoutException e) {
       second.attempt().cancel();
       return new AttemptResult.TimedOut();
@@ -305,7 +305,7 @@
     if (result instanceof AttemptResult.Answered answered
         && answered.reply().body() instanceof Reply.Body.Streaming streaming) {
       try {
-        streaming.end().ended(false);
+        streaming.completion().completed(false);
       } catch (java.io.IOException e) {
         // The answer was not wanted; a failure to close it changes nothing for the caller.
         return;
@@ -348,13 +348,14 @@
     return switch (last) {
       case AttemptResult.Answered answered -> answered.reply();
       case AttemptResult.NotSent notSent ->
-          Reply.own(SERVICE_UNAVAILABLE, Outcome.NOT_EXECUTED, "no server reached", retryAfter);
+          Reply.local(SERVICE_UNAVAILABLE, Outcome.NOT_EXECUTED, "no server reached", retryAfter);
       case AttemptResult.Refused refused ->
-          Reply.own(SERVICE_UNAVAILABLE, Outcome.NOT_EXECUTED, "refused by the server", retryAfter);
+          Reply.local(
+              SERVICE_UNAVAILABLE, Outcome.NOT_EXECUTED, "refused by the server", retryAfter);
       case AttemptResult.Broken broken ->
-          Reply.own(BAD_GATEWAY, Outcome.UNKNOWN, "the answer was cut short", 0);
+          Reply.local(BAD_GATEWAY, Outcome.UNKNOWN, "the answer was cut short", 0);
       case AttemptResult.TimedOut timedOut ->
-          Reply.own(GATEWAY_TIMEOUT, Outcome.UNKNOWN, "no answer in time", 0);
+          Reply.local(GATEWAY_TIMEOUT, Outcome.UNKNOWN, "no answer in time", 0);
     };
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/request/Exchange.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/Exchange.java
@@ -33,7 +33,7 @@
  */
 public final class Exchange {
   /** Larger answers are passed on while they arrive. */
-  public static final int MAX_WHOLE_BYTES = 64 * 1024;
+  public static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
   private final ConnectionPool pool;
   private final Clocks clocks;
@@ -41,7 +41,7 @@
   private final AtomicBoolean ended = new AtomicBoolean();
   private final AtomicBoolean cancelled = new AtomicBoolean();
   private volatile @Nullable BackendConnection connection;
-  private volatile boolean bytesMayHaveLeft;
+  private volatile boolean mayHaveSentBytes;
 
   public Exchange(ConnectionPool pool, Deadline deadline, Clocks clocks) {
     this.pool = pool;
@@ -53,8 +53,8 @@
   public record Head(ClassicHttpResponse response) {}
 
   /** Whether anything may have reached the server. */
-  public boolean bytesMayHaveLeft() {
-    return bytesMayHaveLeft;
+  public boolean mayHaveSentBytes() {
+    return mayHaveSentBytes;
   }
 
   /** When the connection in use was opened, or the time now when there is none. */
@@ -69,7 +69,7 @@
     int timeout = (int) Math.max(1, Math.min(connectTimeoutMillis, left));
     connection = pool.acquire(maxIdleNanos, timeout);
     if (cancelled.get()) {
-      end(false);
+      releaseConnection(false);
       throw new IOException("cancelled");
     }
   }
@@ -84,8 +84,8 @@
     if (deadline.expired(clocks.nanos())) {
       throw new SocketTimeoutException("the deadline passed before sending");
     }
-    BackendConnection used = inUse();
-    bytesMayHaveLeft = true;
+    BackendConnection used = activeConnection();
+    mayHaveSentBytes = true;
     used.send(request);
   }
 
@@ -95,7 +95,7 @@
    * @return nothing when the wait was over first; it can be called again
    */
   public @Nullable Head awaitHead(long waitNanos) throws IOException, HttpException {
-    BackendConnection used = inUse();
+    BackendConnection used = activeConnection();
     long left = Math.min(waitNanos, deadline.remaining(clocks.nanos()));
     if (left <= 0) {
       return null;
@@ -110,13 +110,13 @@
 
   /** Reads a small body whole, or hands a large one on as a stream. */
   public Reply receive(Head head, String method) throws IOException, HttpException {
-    BackendConnection used = inUse();
+    BackendConnection used = activeConnection();
     ClassicHttpResponse response = head.response();
-    List<Field> fields = endToEnd(response);
+    List<Field> fields = endToEndFields(response);
     if (!hasBody(response, method)) {
-      finish(response);
+      releaseAfter(response);
       return new Reply(
-          response.getCode(), fields, new Reply.Body.Whole(new byte[0]), Outcome.EXECUTED);
+          response.getCode(), fields, new Reply.Body.Buffered(new byte[0]), Outcome.EXECUTED);
     }
     used.receiveBody(response);
     HttpEntity entity = response.getEntity();
@@ -127,13 +127,14 @@
     }
     InputStream content = new DeadlineStream(entity.getContent(), used);
     byte[] start = readStart(content, entity.getContentLength());
-    if (start.length < MAX_WHOLE_BYTES) {
-      finish(response);
-      return new Reply(response.getCode(), fields, new Reply.Body.Whole(start), Outcome.EXECUTED);
+    if (start.length < MAX_BUFFERED_BYTES) {
+      releaseAfter(response);
+      return new Reply(
+          response.getCode(), fields, new Reply.Body.Buffered(start), Outcome.EXECUTED);
     }
     InputStream whole =
         new java.io.SequenceInputStream(new java.io.ByteArrayInputStream(start), content);
-    Reply.End end = read -> endStream(read, response);
+    Reply.CompletionListener end = read -> finishStream(read, response);
     return new Reply(
         response.getCode(),
         fields,
@@ -145,8 +146,8 @@
    * Reading without a known length takes 16 KB of heap at a time, most of an exchange's garbage.
    */
   private static byte[] readStart(InputStream content, long length) throws IOException {
-    if (length < 0 || length >= MAX_WHOLE_BYTES) {
-      return content.readNBytes(MAX_WHOLE_BYTES);
+    if (length < 0 || length >= MAX_BUFFERED_BYTES) {
+      return content.readNBytes(MAX_BUFFERED_BYTES);
     }
     byte[] whole = new byte[(int) length];
     if (content.readNBytes(whole, 0, whole.length) < whole.length) {
@@ -158,7 +159,7 @@
   /** Closes the connection under an exchange that is no longer wanted; safe from any thread. */
   public void cancel() {
     cancelled.set(true);
-    end(false);
+    releaseConnection(false);
   }
 
   /** Whether {@link #cancel()} was called. */
@@ -168,7 +169,7 @@
 
   /** Ends the exchange without a whole answer. */
   public void fail() {
-    end(false);
+    releaseConnection(false);
   }
 
   /** Builds the request as it goes to the server. */
@@ -180,7 +181,7 @@
         .forEach(field -> outbound.addHeader(field.name(), field.value()));
     extra.forEach(field -> outbound.setHeader(field.name(), field.value()));
     switch (request.body()) {
-      case InboundRequest.Body.Whole whole -> {
+      case InboundRequest.Body.Buffered whole -> {
         boolean sendsLength = whole.content().length > 0 || !Method.GET.isSame(request.method());
         if (sendsLength) {
           outbound.setHeader(HttpHeaders.CONTENT_LENGTH, String.valueOf(whole.content().length));
@@ -199,21 +200,21 @@
     return outbound;
   }
 
-  private void endStream(boolean read, ClassicHttpResponse response) {
+  private void finishStream(boolean read, ClassicHttpResponse response) {
     if (read) {
-      finish(response);
+      releaseAfter(response);
     } else {
-      end(false);
+      releaseConnection(false);
     }
   }
 
-  private void finish(ClassicHttpResponse response) {
+  private void releaseAfter(ClassicHttpResponse response) {
     boolean keep =
         DefaultConnectionReuseStrategy.INSTANCE.keepAlive(null, response, HttpCoreContext.create());
-    end(keep);
+    releaseConnection(keep);
   }
 
-  private void end(boolean keep) {
+  private void releaseConnection(boolean keep) {
     BackendConnection used = connection;
     if (used == null || !ended.compareAndSet(false, true)) {
       return;
@@ -225,7 +226,7 @@
     }
   }
 
-  private BackendConnection inUse() throws IOException {
+  private BackendConnection activeConnection() throws IOException {
     BackendConnection used = connection;
     if (used == null || ended.get()) {
       throw new IOException("the exchange has ended");
@@ -233,7 +234,7 @@
     return used;
   }
 
-  private static List<Field> endToEnd(ClassicHttpResponse response) {
+  private static List<Field> endToEndFields(ClassicHttpResponse response) {
     List<Field> fields = new ArrayList<>();
     for (Header header : response.getHeaders()) {
       Field field = new Field(header.getName(), header.getValue() == null ? "" : header.getValue());
@@ -262,17 +263,17 @@
 
     @Override
     public int read() throws IOException {
-      bound();
+      updateReadTimeout();
       return super.read();
     }
 
     @Override
     public int read(byte[] buffer, int offset, int length) throws IOException {
-      bound();
+      updateReadTimeout();
       return super.read(buffer, offset, length);
     }
 
-    private void bound() throws IOException {
+    private void updateReadTimeout() throws IOException {
       long left = deadline.remaining(clocks.nanos());
       if (left <= 0) {
         throw new SocketTimeoutException("the deadline passed within the answer");
--- a/core/src/main/java/org/magnoliaswitch/core/request/Field.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/Field.java
@@ -26,7 +26,7 @@
           "expect");
 
   /** Whether the field has a name, case ignored. */
-  public boolean named(String other) {
+  public boolean hasName(String other) {
     return name.equalsIgnoreCase(other);
   }
 
--- a/core/src/main/java/org/magnoliaswitch/core/request/HolderForwarder.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/HolderForwarder.java
@@ -12,7 +12,7 @@
 import org.magnoliaswitch.core.peer.Member;
 
 /** Passes a request on to the instance whose incarnation holds its key. */
-public final class HolderForwarder implements KeyHolders {
+public final class HolderForwarder implements KeyHolderClient {
   /** Marks a request that was passed on once already, so that it is not passed on again. */
   public static final String HOP_HEADER = "Key-Holder-Hop";
 
@@ -45,7 +45,7 @@
       return new AttemptResult.Answered(withOutcome(reply));
     } catch (IOException | HttpException e) {
       exchange.fail();
-      return exchange.bytesMayHaveLeft()
+      return exchange.mayHaveSentBytes()
           ? new AttemptResult.Broken(e.toString())
           : new AttemptResult.NotSent(e.toString());
     }
@@ -64,7 +64,7 @@
   private static Reply withOutcome(Reply reply) {
     String told =
         reply.fields().stream()
-            .filter(field -> field.named(Outcome.HEADER))
+            .filter(field -> field.hasName(Outcome.HEADER))
             .map(Field::value)
             .findFirst()
             .orElse("");
@@ -75,7 +75,7 @@
       }
     }
     List<Field> fields =
-        reply.fields().stream().filter(field -> !field.named(Outcome.HEADER)).toList();
+        reply.fields().stream().filter(field -> !field.hasName(Outcome.HEADER)).toList();
     return new Reply(reply.status(), fields, reply.body(), outcome);
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/request/InboundRequest.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/InboundRequest.java
@@ -38,7 +38,7 @@
   /** The body of a request. */
   public sealed interface Body {
     /** A body held whole, which can be sent again. */
-    record Whole(byte[] content) implements Body {}
+    record Buffered(byte[] content) implements Body {}
 
     /**
      * A body read while it is sent, which can be sent once.
@@ -65,7 +65,7 @@
 
   /** Whether it can be sent again. */
   public boolean repeatable() {
-    return body instanceof Body.Whole;
+    return body instanceof Body.Buffered;
   }
 
   /**
@@ -74,7 +74,8 @@
    */
   public RequestIdentity identity() {
     return switch (body) {
-      case Body.Whole whole -> RequestIdentity.ofContent(method, host(), target, whole.content());
+      case Body.Buffered whole ->
+          RequestIdentity.ofContent(method, host(), target, whole.content());
       case Body.Streaming streaming ->
           RequestIdentity.ofContent(method, host(), target + ' ' + streaming.length(), new byte[0]);
     };
@@ -86,6 +87,6 @@
 
   /** The first value of a header field. */
   public Optional<String> field(String name) {
-    return fields.stream().filter(f -> f.named(name)).map(Field::value).findFirst();
+    return fields.stream().filter(f -> f.hasName(name)).map(Field::value).findFirst();
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/request/Outcome.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/Outcome.java
@@ -16,7 +16,7 @@
    * Response header that says {@code not-executed} when this copy of a request was not executed,
    * although nobody can tell of earlier ones. A caller whose every copy was told so knows the rest.
    */
-  public static final String COPY_HEADER = "Attempt-Outcome";
+  public static final String ATTEMPT_OUTCOME_HEADER = "Attempt-Outcome";
 
   private final String text;
 
--- a/core/src/main/java/org/magnoliaswitch/core/request/RunWait.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/OutcomeAwaiter.java
@@ -9,12 +9,12 @@
 
 /** Waits for another request under the same key. */
 @FunctionalInterface
-public interface RunWait {
+public interface OutcomeAwaiter {
   /** The outcome, or {@link KeyOutcome.Running} when the deadline came first. */
   KeyOutcome await(CompletableFuture<KeyOutcome> run, Deadline deadline);
 
   /** Blocks the calling thread. */
-  static RunWait blocking(Clocks clocks) {
+  static OutcomeAwaiter blocking(Clocks clocks) {
     return (run, deadline) -> {
       try {
         long left = Math.max(0, deadline.remaining(clocks.nanos()));
--- a/core/src/main/java/org/magnoliaswitch/core/request/OutcomeQuery.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/OutcomeQuery.java
@@ -12,56 +12,57 @@
   private static final int NOT_FOUND = 404;
   private static final int RETRY_AFTER_SECONDS = 1;
 
-  private final OnceGate.Parts parts;
+  private final AtMostOnceExecutor.Dependencies dependencies;
 
-  public OutcomeQuery(OnceGate.Parts parts) {
-    this.parts = parts;
+  public OutcomeQuery(AtMostOnceExecutor.Dependencies parts) {
+    this.dependencies = parts;
   }
 
   /** Whom to ask about a key. */
   public sealed interface Answer {
     /** The outcome as told here. */
-    record Told(Reply reply) implements Answer {}
+    record Resolved(Reply reply) implements Answer {}
 
     /** Another live instance holds the key. */
-    record Ask(Member holder) implements Answer {}
+    record AskHolder(Member holder) implements Answer {}
   }
 
   /** Looks a key up. */
-  public Answer ask(String service, String key, boolean passedOn) {
+  public Answer lookup(String service, String key, boolean passedOn) {
     String scoped = service + '/' + key;
-    Optional<KeyOutcome> here = parts.ledger().outcome(scoped);
+    Optional<KeyOutcome> here = dependencies.ledger().outcome(scoped);
     if (here.isPresent()) {
-      return new Answer.Told(OnceGate.replay(here.get()));
+      return new Answer.Resolved(AtMostOnceExecutor.replay(here.get()));
     }
-    Optional<String> holder = parts.issuer().parse(key).map(KeyIssuer.IssuedKey::incarnation);
+    Optional<String> holder =
+        dependencies.issuer().parse(key).map(KeyIssuer.IssuedKey::incarnation);
     if (holder.isEmpty()) {
-      holder = parts.claims().holder(scoped);
+      holder = dependencies.claims().holder(scoped);
     }
-    if (holder.isEmpty() || holder.get().equals(parts.membership().self().incarnation())) {
-      return none();
+    if (holder.isEmpty() || holder.get().equals(dependencies.membership().self().incarnation())) {
+      return unknown();
     }
-    Optional<Member> member = parts.membership().live(holder.get());
+    Optional<Member> member = dependencies.membership().live(holder.get());
     return member.isPresent() && !passedOn
-        ? new Answer.Ask(member.get())
-        : fromRecords(holder.get(), scoped);
+        ? new Answer.AskHolder(member.get())
+        : answerFromRecords(holder.get(), scoped);
   }
 
-  private Answer fromRecords(String holder, String scoped) {
+  private Answer answerFromRecords(String holder, String scoped) {
     try {
-      OutcomeRecords.Lookup lookup = parts.records().lookup(holder, scoped);
+      OutcomeRecords.Lookup lookup = dependencies.records().lookup(holder, scoped);
       return lookup
           .finished()
-          .<Answer>map(f -> new Answer.Told(OnceGate.replay(f.outcome())))
-          .orElseGet(OutcomeQuery::none);
+          .<Answer>map(f -> new Answer.Resolved(AtMostOnceExecutor.replay(f.outcome())))
+          .orElseGet(OutcomeQuery::unknown);
     } catch (PlatformException e) {
-      return none();
+      return unknown();
     }
   }
 
   /** Nothing is known, which proves nothing: a request may still be on its way. */
-  private static Answer none() {
-    return new Answer.Told(
-        Reply.own(NOT_FOUND, Outcome.UNKNOWN, "no outcome is on record", RETRY_AFTER_SECONDS));
+  private static Answer unknown() {
+    return new Answer.Resolved(
+        Reply.local(NOT_FOUND, Outcome.UNKNOWN, "no outcome is on record", RETRY_AFTER_SECONDS));
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/request/Reply.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/Reply.java
@@ -23,7 +23,7 @@
   /** The body of a reply. */
   public sealed interface Body {
     /** A body held whole. */
-    record Whole(byte[] content) implements Body {}
+    record Buffered(byte[] content) implements Body {}
 
     /**
      * A body passed on while it arrives.
@@ -32,18 +32,19 @@
      * @param length its length, or -1 when not known
      * @param end called once with whether all was passed on
      */
-    record Streaming(InputStream stream, long length, End end) implements Body {}
+    record Streaming(InputStream stream, long length, CompletionListener completion)
+        implements Body {}
   }
 
   /** Takes the end of a streamed body. */
   @FunctionalInterface
-  public interface End {
+  public interface CompletionListener {
     /** Called with whether the whole body was read. */
-    void ended(boolean whole) throws IOException;
+    void completed(boolean whole) throws IOException;
   }
 
   /** A reply made by this instance. */
-  public static Reply own(int status, Outcome outcome, String reason, int retryAfterSeconds) {
+  public static Reply local(int status, Outcome outcome, String reason, int retryAfterSeconds) {
     List<Field> fields = new ArrayList<>();
     fields.add(new Field("Content-Type", "application/json"));
     if (retryAfterSeconds > 0) {
@@ -51,27 +52,27 @@
     }
     String body = "{\"outcome\":\"" + outcome.text() + "\",\"reason\":\"" + reason + "\"}\n";
     return new Reply(
-        status, fields, new Body.Whole(body.getBytes(StandardCharsets.UTF_8)), outcome);
+        status, fields, new Body.Buffered(body.getBytes(StandardCharsets.UTF_8)), outcome);
   }
 
   /**
    * A reply to a copy of a request that was certainly not executed, while earlier copies under its
    * key may have been.
    */
-  public static Reply copyNotExecuted(int status, String reason, int retryAfterSeconds) {
-    return own(status, Outcome.UNKNOWN, reason, retryAfterSeconds)
-        .with(new Field(Outcome.COPY_HEADER, Outcome.NOT_EXECUTED.text()));
+  public static Reply attemptNotExecuted(int status, String reason, int retryAfterSeconds) {
+    return local(status, Outcome.UNKNOWN, reason, retryAfterSeconds)
+        .withField(new Field(Outcome.ATTEMPT_OUTCOME_HEADER, Outcome.NOT_EXECUTED.text()));
   }
 
   /** The same reply with one more field. */
-  public Reply with(Field field) {
+  public Reply withField(Field field) {
     List<Field> more = new ArrayList<>(fields);
     more.add(field);
     return new Reply(status, more, body, outcome);
   }
 
   /** The body when it is held whole. */
-  public byte @Nullable [] whole() {
-    return body instanceof Body.Whole held ? held.content() : null;
+  public byte @Nullable [] bufferedBody() {
+    return body instanceof Body.Buffered held ? held.content() : null;
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/request/RequestService.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/RequestService.java
@@ -8,9 +8,9 @@
 
 /** Serves callers' requests: the whole path of a request behind the listener. */
 public final class RequestService {
-  private final OnceGate gate;
+  private final AtMostOnceExecutor gate;
   private final Dispatcher dispatcher;
-  private final OnceGate.Parts parts;
+  private final AtMostOnceExecutor.Dependencies parts;
   private final HolderForwarder forwarder;
   private final Timeline timeline;
 
@@ -30,16 +30,16 @@
             ThreadLocalRandom::current);
     this.forwarder = new HolderForwarder(control.clocks());
     this.parts =
-        new OnceGate.Parts(
+        new AtMostOnceExecutor.Dependencies(
             control.issuer(),
             control.ledger(),
             control.claims(),
             control.records(),
             state.membership(),
             forwarder,
-            RunWait.blocking(control.clocks()));
+            OutcomeAwaiter.blocking(control.clocks()));
     this.gate =
-        new OnceGate(
+        new AtMostOnceExecutor(
             parts, dispatcher::dispatch, callersBalancerResends, control.clocks(), timeline);
   }
 
--- a/core/src/main/java/org/magnoliaswitch/core/request/ServerChooser.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/ServerChooser.java
@@ -62,14 +62,15 @@
         switch (policy) {
           case RoutingPolicy.RoundRobin roundRobin ->
               eligible.get(Math.floorMod(turn.getAndIncrement(), eligible.size()));
-          case RoutingPolicy.LeastRequests leastRequests -> leastOfTwo(eligible, random);
+          case RoutingPolicy.LeastRequests leastRequests -> fewerRequestsOfTwo(eligible, random);
           case RoutingPolicy.FreshLoad fresh ->
               lowestScore(
                   fresh, sample(eligible, fresh.candidates(), random), localDataCentre, nowNanos);
         });
   }
 
-  private static ServerHandle leastOfTwo(List<ServerHandle> eligible, RandomGenerator random) {
+  private static ServerHandle fewerRequestsOfTwo(
+      List<ServerHandle> eligible, RandomGenerator random) {
     ServerHandle first = eligible.get(random.nextInt(eligible.size()));
     ServerHandle second = eligible.get(random.nextInt(eligible.size()));
     return first.load().inFlight() <= second.load().inFlight() ? first : second;
@@ -97,7 +98,7 @@
     double meanLatency = 0;
     int known = 0;
     for (ServerHandle handle : sampled) {
-      double weight = fade(policy, handle.load(), nowNanos);
+      double weight = reportWeight(policy, handle.load(), nowNanos);
       meanRequests += weight * handle.load().lastReport().report().requests();
       weights += weight;
       if (handle.load().averages().samples() > 0) {
@@ -135,26 +136,27 @@
     double latency = averages.samples() == 0 ? meanLatency : averages.latencyMillis();
     double success = Math.max(MIN_SUCCESS, 1 - averages.failureShare());
     double remote = handle.server().dataCentre().equals(local) ? 0 : policy.remotePenaltyMillis();
-    return (latency * (1 + waves) / success + remote) * ramp(load, nowNanos);
+    return (latency * (1 + waves) / success + remote) * rampFactor(load, nowNanos);
   }
 
   /** Requests a server is expected to hold now. */
   static double expectedRequests(
       RoutingPolicy.FreshLoad policy, ServerLoad load, double meanRequests, long nowNanos) {
     ServerLoad.TimedReport last = load.lastReport();
-    double fade = fade(policy, load, nowNanos);
+    double fade = reportWeight(policy, load, nowNanos);
     double reported = meanRequests + (last.report().requests() - meanRequests) * fade;
     int ownSince = load.inFlight() - last.ownInFlight();
     return Math.max(load.inFlight(), reported + ownSince);
   }
 
   /** Weight of a server's last report by its age, 0 to 1. */
-  private static double fade(RoutingPolicy.FreshLoad policy, ServerLoad load, long nowNanos) {
+  private static double reportWeight(
+      RoutingPolicy.FreshLoad policy, ServerLoad load, long nowNanos) {
     double ageMillis = (nowNanos - load.lastReport().atNanos()) / NANOS_PER_MILLI;
     return Math.pow(0.5, ageMillis / policy.reportHalfLifeMillis());
   }
 
-  private static double ramp(ServerLoad load, long nowNanos) {
+  private static double rampFactor(ServerLoad load, long nowNanos) {
     double age = (double) (nowNanos - load.createdNanos()) / RAMP_NANOS;
     return age >= 1 ? 1 : 1 + RAMP_PENALTY * (1 - age);
   }
--- a/core/src/test/java/org/magnoliaswitch/core/process/MembershipTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/MembershipTest.java
@@ -37,7 +37,8 @@
   public void olderNewsCannotUndoLeaving() {
     membership.merge(member("a", 1));
     assertEquals(
-        membership.merge(member("a", 1).withHeartbeat(2, MemberState.LEAVING)), Membership.Change.LEFT);
+        membership.merge(member("a", 1).withHeartbeat(2, MemberState.LEAVING)),
+        Membership.Change.LEFT);
     membership.merge(member("a", 3));
     assertTrue(membership.livePeers().isEmpty());
   }
--- a/core/src/test/java/org/magnoliaswitch/core/request/OnceGateModelTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/request/AtMostOnceExecutorModelTest.java
@@ -40,7 +40,7 @@
  * between them interleaved by a seed, while claims fail in every way and instances are killed or
  * stopped.
  */
-public final class OnceGateModelTest {
+public final class AtMostOnceExecutorModelTest {
   private static final int INTERLEAVINGS = 2_000;
   private static final int CALLERS = 4;
   private static final int TRIES = 4;
@@ -97,7 +97,7 @@
     private final OutcomeLedger ledger;
     private final KeyIssuer issuer;
     private final OutcomeRecords records;
-    private final OnceGate gate;
+    private final AtMostOnceExecutor gate;
     private boolean alive = true;
     private boolean accepting = true;
     private int atWork;
@@ -131,11 +131,12 @@
                 1,
                 MemberState.SERVING));
       }
-      OnceGate.Parts parts =
-          new OnceGate.Parts(
+      AtMostOnceExecutor.Dependencies parts =
+          new AtMostOnceExecutor.Dependencies(
               issuer, ledger, world.claims(), records, membership, world::forward, world::await);
       Timeline timeline = new Timeline("t", new HybridClock(world.time), 10);
-      this.gate = new OnceGate(parts, world::execute, true, world.time.clocks(), timeline);
+      this.gate =
+          new AtMostOnceExecutor(parts, world::execute, true, world.time.clocks(), timeline);
     }
   }
 
@@ -240,15 +241,15 @@
     private Reply execute(InboundRequest request) {
       scheduler.step();
       if (scheduler.random().nextInt(5) == 0) {
-        return Reply.own(503, Outcome.NOT_EXECUTED, "refused", 1);
+        return Reply.local(503, Outcome.NOT_EXECUTED, "refused", 1);
       }
       executions.merge(request.id(), 1, Integer::sum);
       executedAttempts.put(request.id(), request.attempt().number());
       scheduler.step();
       boolean lost = faults.answersLost() && scheduler.random().nextInt(3) == 0;
       return lost
-          ? Reply.own(504, Outcome.UNKNOWN, "lost", 0)
-          : new Reply(200, List.of(), new Reply.Body.Whole(new byte[] {1}), Outcome.EXECUTED);
+          ? Reply.local(504, Outcome.UNKNOWN, "lost", 0)
+          : new Reply(200, List.of(), new Reply.Body.Buffered(new byte[] {1}), Outcome.EXECUTED);
     }
 
     private KeyClaims claims() {
@@ -336,7 +337,7 @@
           "POST",
           "/booking/book",
           List.of(),
-          new InboundRequest.Body.Whole(operation.getBytes(StandardCharsets.UTF_8)),
+          new InboundRequest.Body.Buffered(operation.getBytes(StandardCharsets.UTF_8)),
           service,
           Declarations.BOOK,
           new Deadline(Long.MAX_VALUE / 2),
--- a/core/src/test/java/org/magnoliaswitch/core/request/DispatcherTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/request/DispatcherTest.java
@@ -247,7 +247,7 @@
         try (InputStream in = stream.stream()) {
           assertEquals(new String(in.readAllBytes(), StandardCharsets.ISO_8859_1), body);
         }
-        stream.end().ended(true);
+        stream.completion().completed(true);
         assertEquals(bench.inFlight(), 0);
       }
     }
@@ -261,7 +261,7 @@
         Reply.Body.Streaming stream =
             (Reply.Body.Streaming) bench.send(Declarations.READ, 500).body();
         org.testng.Assert.assertThrows(IOException.class, () -> stream.stream().readAllBytes());
-        stream.end().ended(false);
+        stream.completion().completed(false);
       }
     }
   }
@@ -338,7 +338,7 @@
               kind.method(),
               "/booking/book",
               List.of(),
-              new InboundRequest.Body.Whole(new byte[3]),
+              new InboundRequest.Body.Buffered(new byte[3]),
               service,
               kind,
               Deadline.after(clocks.nanos(), deadlineMillis),
--- a/entry/src/main/java/org/magnoliaswitch/entry/CallerHandler.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/CallerHandler.java
@@ -129,7 +129,7 @@
         case RequestReader.Reading.Refused refused -> refused.reply();
       };
     } catch (IOException e) {
-      return Reply.own(BAD_REQUEST, Outcome.NOT_EXECUTED, "the request was cut short", 0);
+      return Reply.local(BAD_REQUEST, Outcome.NOT_EXECUTED, "the request was cut short", 0);
     }
   }
 
@@ -137,16 +137,16 @@
   private Reply crowded(Request request) {
     boolean provable = !balancerResends || !request.getHeaders().contains("Idempotency-Key");
     Outcome outcome = provable ? Outcome.NOT_EXECUTED : Outcome.UNKNOWN;
-    return Reply.own(UNAVAILABLE, outcome, "too many requests at once", 1);
+    return Reply.local(UNAVAILABLE, outcome, "too many requests at once", 1);
   }
 
   private Reply served(InboundRequest inbound) {
     Reply reply = requests.serve(inbound);
-    Reply named = reply.with(new Field("X-Request-Id", inbound.id()));
+    Reply named = reply.withField(new Field("X-Request-Id", inbound.id()));
     // A stopping instance issues no keys: they would outlive the only one that may execute them.
     return inbound.idempotent() || !ready
         ? named
-        : named.with(new Field(ISSUED_KEY, control.issuer().issue()));
+        : named.withField(new Field(ISSUED_KEY, control.issuer().issue()));
   }
 
   private void write(Request request, Response response, Reply reply) throws IOException {
@@ -161,7 +161,7 @@
       fields.put(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE.asString());
     }
     switch (reply.body()) {
-      case Reply.Body.Whole whole -> {
+      case Reply.Body.Buffered whole -> {
         if (hasBody(request, reply)) {
           fields.put(HttpHeader.CONTENT_LENGTH, whole.content().length);
         }
@@ -190,7 +190,7 @@
       }
       whole = true;
     } finally {
-      body.end().ended(whole);
+      body.completion().completed(whole);
     }
     Content.Sink.write(response, true, ByteBuffer.allocate(0));
   }
--- a/entry/src/main/java/org/magnoliaswitch/entry/KeyEndpoints.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/KeyEndpoints.java
@@ -43,16 +43,16 @@
       case "ready" ->
           ready.getAsBoolean()
               ? text(OK, "ready\n")
-              : Reply.own(UNAVAILABLE, Outcome.NOT_EXECUTED, "not ready", 1);
+              : Reply.local(UNAVAILABLE, Outcome.NOT_EXECUTED, "not ready", 1);
       case "keys" -> issue(request);
       case "outcomes" -> outcome(request);
-      default -> Reply.own(NOT_FOUND, Outcome.NOT_EXECUTED, "no such path", 0);
+      default -> Reply.local(NOT_FOUND, Outcome.NOT_EXECUTED, "no such path", 0);
     };
   }
 
   private Reply issue(Request request) {
     if (!ready.getAsBoolean()) {
-      return Reply.own(UNAVAILABLE, Outcome.NOT_EXECUTED, "not ready", 1);
+      return Reply.local(UNAVAILABLE, Outcome.NOT_EXECUTED, "not ready", 1);
     }
     int count = Math.clamp(number(parameter(request, "count").orElse("1")), 1, MAX_KEYS);
     StringBuilder keys = new StringBuilder();
@@ -66,20 +66,20 @@
     Optional<String> service = parameter(request, "service");
     Optional<String> key = parameter(request, "key");
     if (service.isEmpty() || key.isEmpty()) {
-      return Reply.own(NOT_FOUND, Outcome.UNKNOWN, "name service and key", 0);
+      return Reply.local(NOT_FOUND, Outcome.UNKNOWN, "name service and key", 0);
     }
     boolean passedOn = request.getHeaders().contains(HolderForwarder.HOP_HEADER);
-    OutcomeQuery.Answer answer = requests.outcomes().ask(service.get(), key.get(), passedOn);
+    OutcomeQuery.Answer answer = requests.outcomes().lookup(service.get(), key.get(), passedOn);
     return switch (answer) {
-      case OutcomeQuery.Answer.Told told -> told.reply();
-      case OutcomeQuery.Answer.Ask ask -> askHolder(request, service.get(), ask);
+      case OutcomeQuery.Answer.Resolved told -> told.reply();
+      case OutcomeQuery.Answer.AskHolder ask -> askHolder(request, service.get(), ask);
     };
   }
 
-  private Reply askHolder(Request request, String service, OutcomeQuery.Answer.Ask ask) {
+  private Reply askHolder(Request request, String service, OutcomeQuery.Answer.AskHolder ask) {
     ServiceState state = control.registry().state().services().get(service);
     if (state == null) {
-      return Reply.own(NOT_FOUND, Outcome.UNKNOWN, "no such service", 0);
+      return Reply.local(NOT_FOUND, Outcome.UNKNOWN, "no such service", 0);
     }
     long now = control.clocks().nanos();
     InboundRequest query =
@@ -88,7 +88,7 @@
             "GET",
             request.getHttpURI().getPathQuery(),
             List.of(),
-            new InboundRequest.Body.Whole(new byte[0]),
+            new InboundRequest.Body.Buffered(new byte[0]),
             state,
             state.profile().kinds().getFirst(),
             Deadline.after(now, QUERY_MILLIS),
@@ -98,7 +98,7 @@
     AttemptResult result = requests.forwarder().forward(query, ask.holder());
     return result instanceof AttemptResult.Answered answered
         ? answered.reply()
-        : Reply.own(UNAVAILABLE, Outcome.UNKNOWN, "the key's holder does not answer", 1);
+        : Reply.local(UNAVAILABLE, Outcome.UNKNOWN, "the key's holder does not answer", 1);
   }
 
   private static Optional<String> parameter(Request request, String name) {
@@ -114,7 +114,7 @@
     return new Reply(
         status,
         List.of(new Field("Content-Type", "text/plain"), new Field("Cache-Control", "no-store")),
-        new Reply.Body.Whole(body.getBytes(StandardCharsets.UTF_8)),
+        new Reply.Body.Buffered(body.getBytes(StandardCharsets.UTF_8)),
         Outcome.EXECUTED);
   }
 }
--- a/entry/src/main/java/org/magnoliaswitch/entry/RequestReader.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/RequestReader.java
@@ -88,7 +88,7 @@
       return refused(TOO_LARGE, "the body is too large");
     }
     InboundRequest.Body body = body(request, kind.get());
-    if (body instanceof InboundRequest.Body.Whole whole
+    if (body instanceof InboundRequest.Body.Buffered whole
         && whole.content().length > limit(kind.get())) {
       return refused(TOO_LARGE, "the body is too large");
     }
@@ -137,12 +137,12 @@
   private static InboundRequest.Body body(Request request, RequestKind kind) throws IOException {
     long length = request.getLength();
     if (length == 0) {
-      return new InboundRequest.Body.Whole(new byte[0]);
+      return new InboundRequest.Body.Buffered(new byte[0]);
     }
     InputStream stream = Content.Source.asInputStream(request);
     boolean whole =
         kind.execution() == Execution.AT_MOST_ONCE
-            || (length > 0 && length <= Exchange.MAX_WHOLE_BYTES);
+            || (length > 0 && length <= Exchange.MAX_BUFFERED_BYTES);
     if (!whole) {
       return new InboundRequest.Body.Streaming(stream, length);
     }
@@ -150,7 +150,7 @@
     if (length >= 0 && content.length < length && content.length <= MAX_ONCE_BODY) {
       throw new IOException("the body was cut short");
     }
-    return new InboundRequest.Body.Whole(content);
+    return new InboundRequest.Body.Buffered(content);
   }
 
   private static String id(Request request) {
@@ -186,7 +186,7 @@
     for (HttpField one : received) {
       String value = one.getValue() == null ? "" : one.getValue();
       Field field = new Field(one.getName(), value);
-      boolean replaced = field.named("Host") || field.named("X-Request-Id");
+      boolean replaced = field.hasName("Host") || field.hasName("X-Request-Id");
       if (!field.hopByHop() && !replaced && !named.contains(one.getLowerCaseName())) {
         fields.add(field);
       }
@@ -209,6 +209,6 @@
 
   private static Reading refused(int status, String reason) {
     int retryAfter = status == UNAVAILABLE ? 1 : 0;
-    return new Reading.Refused(Reply.own(status, Outcome.NOT_EXECUTED, reason, retryAfter));
+    return new Reading.Refused(Reply.local(status, Outcome.NOT_EXECUTED, reason, retryAfter));
   }
 }
