--- a/core/src/main/java/org/magnoliaswitch/core/request/AtMostOnceExecutor.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/AtMostOnceExecutor.java
@@ -26,12 +26,12 @@
 import org.magnoliaswitch.core.version.KeyPolicy;
 
 /**
- * Lets each idempotency key be executed at most once.
+ * Executes requests at most once for each idempotency key.
  *
- * <p>Only one incarnation ever executes a key: the one an issued key names, or the one whose claim
- * row a caller's own key has. Others pass the request on to it, and when it is gone they answer
- * from its records. Nothing here depends on time: a paused holder that wakes up is still the only
- * one.
+ * <p>Only one incarnation ever executes the request of a key: the incarnation that an issued key
+ * names, or the one that is recorded in the claim row of a caller's own key. The others forward the
+ * request to it and, when it is gone, answer from its records. This does not depend on time: a
+ * holder that resumes after a pause is still the only incarnation that executes the key.
  */
 public final class AtMostOnceExecutor {
   private static final int UNPROCESSABLE = 422;
@@ -44,15 +44,15 @@
   private static final int MAX_JOINS = 3;
 
   /**
-   * The parts that the gate works with.
+   * Dependencies of the executor.
    *
-   * @param issuer issues and recognises keys of this system
-   * @param ledger keys of this incarnation
-   * @param claims claims of callers' own keys
+   * @param issuer issues keys and recognises issued ones
+   * @param ledger keys that this incarnation executes
+   * @param claims claims keys that callers generated themselves
    * @param records outcomes of incarnations that are gone
-   * @param membership instances known
-   * @param holders way to other instances
-   * @param waiting waits for a request under the same key
+   * @param membership known instances
+   * @param holderClient forwards requests to other instances
+   * @param outcomeAwaiter waits for another request with the same key
    */
   public record Dependencies(
       KeyIssuer issuer,
@@ -70,25 +70,25 @@
   private final Timeline timeline;
 
   /**
-   * Creates the gate.
+   * Creates an executor.
    *
-   * @param callersBalancerResends whether the balancer in front may send a request twice by itself;
-   *     then a caller's word that it is a first attempt proves nothing
+   * @param callersBalancerResends whether the load balancer of the callers may send a request twice
+   *     by itself; a caller's statement that this is the first attempt then proves nothing
    */
   public AtMostOnceExecutor(
-      Dependencies parts,
+      Dependencies dependencies,
       Function<InboundRequest, Reply> execute,
       boolean callersBalancerResends,
       Clocks clocks,
       Timeline timeline) {
-    this.dependencies = parts;
+    this.dependencies = dependencies;
     this.execute = execute;
     this.callersBalancerResends = callersBalancerResends;
     this.clocks = clocks;
     this.timeline = timeline;
   }
 
-  /** Serves a request of an at-most-once kind. */
+  /** Serves a request of a kind that must be executed at most once. */
   public Reply serve(InboundRequest request) {
     KeyPolicy policy = request.service().profile().keys();
     if (!policy.protectionEnabled()) {
@@ -97,13 +97,13 @@
     if (request.key().isEmpty()) {
       return policy.required()
           ? Reply.local(
-              PRECONDITION_REQUIRED, Outcome.NOT_EXECUTED, "an Idempotency-Key is needed", 0)
+              PRECONDITION_REQUIRED, Outcome.NOT_EXECUTED, "an Idempotency-Key is required", 0)
           : execute.apply(request);
     }
     String key = request.key().get();
     Optional<KeyIssuer.IssuedKey> issued = dependencies.issuer().parse(key);
-    String scoped = request.service().service().name() + '/' + key;
-    KeyedRequest keyed = new KeyedRequest(request, scoped, fingerprint(request), policy);
+    String scopedKey = request.service().service().name() + '/' + key;
+    KeyedRequest keyed = new KeyedRequest(request, scopedKey, fingerprint(request), policy);
     if (issued.isEmpty()) {
       return executeLocally(keyed, true);
     }
@@ -111,7 +111,7 @@
       return askHolder(keyed, issued.get().incarnation(), Optional.empty());
     }
     return dependencies.issuer().expired(issued.get(), policy.retentionSeconds())
-        ? Reply.local(GONE, Outcome.UNKNOWN, "the key is older than outcomes are kept", 0)
+        ? Reply.local(GONE, Outcome.UNKNOWN, "the key is older than the retention of outcomes", 0)
         : executeLocally(keyed, false);
   }
 
@@ -147,10 +147,14 @@
         }
       }
     }
-    return Reply.local(UNAVAILABLE, Outcome.UNKNOWN, "the key is in use", RETRY_AFTER_SECONDS);
+    return Reply.local(
+        UNAVAILABLE, Outcome.UNKNOWN, "the key is in use by another request", RETRY_AFTER_SECONDS);
   }
 
-  /** Claims the key for this incarnation; the ledger has a run open that must be ended here. */
+  /**
+   * Claims the key for this incarnation. The ledger has an open entry for the key, which must be
+   * finished or withdrawn here.
+   */
   private Reply claimAndExecute(KeyedRequest keyed, long replacesRow) {
     InboundRequest request = keyed.request();
     Claim claim =
@@ -160,9 +164,9 @@
             keyed.fingerprint(),
             replacesRow,
             keyed.policy().retentionSeconds());
-    long wait = request.deadline().remaining(clocks.nanos()) / 2;
+    long waitNanos = request.deadline().remaining(clocks.nanos()) / 2;
     ClaimResult result =
-        dependencies.claims().claim(claim, keyed.policy().claimWindowMillis(), wait);
+        dependencies.claims().claim(claim, keyed.policy().claimWindowMillis(), waitNanos);
     recordEvent(keyed, EventKind.CLAIMED, "status=" + result.status());
     return switch (result.status()) {
       case GRANTED -> executeAndRecord(keyed);
@@ -173,7 +177,7 @@
             : mismatch();
       }
       case UNAVAILABLE -> {
-        // Not a refusal of this key's holder: another instance may hold the key and have run it.
+        // The key has no outcome here: another instance may hold it and have executed the request.
         dependencies.ledger().withdraw(keyed.key());
         yield claimUnavailable(request);
       }
@@ -181,13 +185,13 @@
   }
 
   /**
-   * The table gave no answer, so this request was not run. Whether an earlier one under the key
-   * was, nobody can tell without the table, unless the caller says that there was none and nothing
-   * in between sends requests twice.
+   * Replies to a request that was not executed because the claim table did not answer. Without the
+   * table it is unknown whether an earlier request with the key was executed, unless the caller
+   * states that there was none and no load balancer sends requests twice.
    */
   private Reply claimUnavailable(InboundRequest request) {
     boolean first = request.attempt().declared() && request.attempt().number() == 1;
-    String reason = "keys cannot be claimed now";
+    String reason = "the key could not be claimed";
     return first && !callersBalancerResends
         ? Reply.local(UNAVAILABLE, Outcome.NOT_EXECUTED, reason, RETRY_AFTER_SECONDS)
         : Reply.attemptNotExecuted(UNAVAILABLE, reason, RETRY_AFTER_SECONDS);
@@ -212,7 +216,10 @@
     };
   }
 
-  /** A sender that does not count its attempts is taken to know of earlier refusals. */
+  /**
+   * Number of the attempt. A caller that does not number its attempts is assumed to know of earlier
+   * refusals, so its request counts as a later attempt.
+   */
   private static int attemptNumber(InboundRequest request) {
     return request.attempt().declared() ? request.attempt().number() : Integer.MAX_VALUE;
   }
@@ -234,19 +241,22 @@
     return Optional.of(new StoredAnswer(reply.status(), fields, body));
   }
 
-  /** The key belongs to another incarnation: ask it, or its records when it is gone. */
+  /**
+   * Forwards the request to the incarnation that holds the key, or answers from its records when it
+   * is gone.
+   */
   private Reply askHolder(KeyedRequest keyed, String holder, Optional<ClaimResult> claim) {
     InboundRequest request = keyed.request();
-    boolean passedOn = request.field(HolderForwarder.HOP_HEADER).isPresent();
+    boolean forwarded = request.field(HolderForwarder.HOP_HEADER).isPresent();
     Optional<Member> member = dependencies.membership().live(holder);
-    if (member.isPresent() && !passedOn) {
+    if (member.isPresent() && !forwarded) {
       recordEvent(keyed, EventKind.FORWARDED, "holder=" + holder);
       AttemptResult result = dependencies.holderClient().forward(request, member.get());
       if (result instanceof AttemptResult.Answered answered) {
         return answered.reply();
       }
       if (!(result instanceof AttemptResult.NotSent)) {
-        return Reply.local(TIMEOUT, Outcome.UNKNOWN, "no answer from the key's holder", 0);
+        return Reply.local(TIMEOUT, Outcome.UNKNOWN, "no answer from the holder of the key", 0);
       }
     }
     return answerFromRecords(keyed, holder, claim);
@@ -261,10 +271,13 @@
       return lookup.complete()
           ? takeOverUnexecuted(keyed, claim)
           : Reply.local(
-              UNAVAILABLE, Outcome.UNKNOWN, "the key's holder is gone", RETRY_AFTER_SECONDS);
+              UNAVAILABLE, Outcome.UNKNOWN, "the holder of the key is gone", RETRY_AFTER_SECONDS);
     } catch (PlatformException e) {
       return Reply.local(
-          UNAVAILABLE, Outcome.UNKNOWN, "the key's records cannot be read", RETRY_AFTER_SECONDS);
+          UNAVAILABLE,
+          Outcome.UNKNOWN,
+          "the records of the key cannot be read",
+          RETRY_AFTER_SECONDS);
     }
   }
 
@@ -280,23 +293,28 @@
       if (claim.isPresent() && attemptNumber(keyed.request()) <= refused.attempt()) {
         return replay(refused);
       }
-      // Without the mark of an orderly stop the holder may have run it after this record.
+      // Without the record of a graceful stop, the holder may have executed the key after this
+      // record.
       return complete
           ? takeOverUnexecuted(keyed, claim)
           : Reply.local(
-              UNAVAILABLE, Outcome.UNKNOWN, "the key's holder is gone", RETRY_AFTER_SECONDS);
+              UNAVAILABLE, Outcome.UNKNOWN, "the holder of the key is gone", RETRY_AFTER_SECONDS);
     }
     return replay(finished.outcome());
   }
 
   /**
-   * The holder stopped in order without executing the key. A claimed key passes to this incarnation
-   * by replacing the very row that was read; an issued key stays unusable, since two survivors
-   * could otherwise both run it.
+   * Handles a key whose holder stopped gracefully without executing it. A claimed key is taken over
+   * by replacing exactly the row that was read. An issued key remains unusable, since otherwise two
+   * of the remaining instances could both execute it.
    */
   private Reply takeOverUnexecuted(KeyedRequest keyed, Optional<ClaimResult> claim) {
     if (claim.isEmpty()) {
-      return Reply.local(CONFLICT, Outcome.NOT_EXECUTED, "use a new key: its instance is gone", 0);
+      return Reply.local(
+          CONFLICT,
+          Outcome.NOT_EXECUTED,
+          "the instance that issued the key is gone: use a new key",
+          0);
     }
     OutcomeLedger.Admission admission =
         dependencies
@@ -308,10 +326,14 @@
                 attemptNumber(keyed.request()));
     return admission instanceof OutcomeLedger.Admission.Execute
         ? claimAndExecute(keyed, claim.get().row())
-        : Reply.local(UNAVAILABLE, Outcome.UNKNOWN, "the key is in use", RETRY_AFTER_SECONDS);
+        : Reply.local(
+            UNAVAILABLE,
+            Outcome.UNKNOWN,
+            "the key is in use by another request",
+            RETRY_AFTER_SECONDS);
   }
 
-  /** The answer for a key whose outcome is known. */
+  /** Creates the reply for a key whose outcome is known. */
   static Reply replay(KeyOutcome outcome) {
     return switch (outcome) {
       case KeyOutcome.Executed executed ->
@@ -321,13 +343,14 @@
               .orElseGet(
                   () ->
                       Reply.local(
-                          CONFLICT, Outcome.EXECUTED, "the answer was too large to keep", 0));
-      case KeyOutcome.NotExecuted none ->
+                          CONFLICT, Outcome.EXECUTED, "the answer was too large to store", 0));
+      case KeyOutcome.NotExecuted notExecuted ->
           Reply.local(UNAVAILABLE, Outcome.NOT_EXECUTED, "not executed", RETRY_AFTER_SECONDS);
       case KeyOutcome.Unknown unknown ->
-          Reply.local(CONFLICT, Outcome.UNKNOWN, "sent once, and no whole answer came", 0);
+          Reply.local(CONFLICT, Outcome.UNKNOWN, "sent, but no complete answer was received", 0);
       case KeyOutcome.Running running ->
-          Reply.local(CONFLICT, Outcome.UNKNOWN, "at work", RETRY_AFTER_SECONDS);
+          Reply.local(
+              CONFLICT, Outcome.UNKNOWN, "the request is being executed", RETRY_AFTER_SECONDS);
     };
   }
 
@@ -341,7 +364,7 @@
 
   private static Reply mismatch() {
     return Reply.local(
-        UNPROCESSABLE, Outcome.NOT_EXECUTED, "the key was used for another request", 0);
+        UNPROCESSABLE, Outcome.NOT_EXECUTED, "the key was used for a different request", 0);
   }
 
   private String self() {
@@ -356,8 +379,8 @@
   private static String fingerprint(InboundRequest request) {
     Hasher hasher = Hashing.sha256().newHasher();
     hasher.putString(request.method() + ' ' + request.target() + '\n', StandardCharsets.UTF_8);
-    if (request.body() instanceof InboundRequest.Body.Buffered whole) {
-      hasher.putBytes(whole.content());
+    if (request.body() instanceof InboundRequest.Body.Buffered buffered) {
+      hasher.putBytes(buffered.content());
     }
     return hasher.hash().toString().substring(0, 32);
   }
--- a/core/src/main/java/org/magnoliaswitch/core/request/AttemptResult.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/AttemptResult.java
@@ -1,19 +1,24 @@
 package org.magnoliaswitch.core.request;
 
-/** How one attempt at one backend server ended. */
+/** The result of one attempt to send a request to a backend server. */
 public sealed interface AttemptResult {
-  /** A whole answer, or the head of one that is passed on while it arrives. */
+  /**
+   * The server answered. A small body was received completely; a large one is forwarded as a
+   * stream.
+   */
   record Answered(Reply reply) implements AttemptResult {}
 
-  /** The server said by a declared status that it did not execute the request. */
+  /**
+   * The server refused the request with a status that is declared to mean that it was not executed.
+   */
   record Refused(int status) implements AttemptResult {}
 
-  /** Nothing of the request left this instance. */
+  /** No part of the request was sent. */
   record NotSent(String reason) implements AttemptResult {}
 
-  /** Bytes may have left, and no whole answer came. */
+  /** The request may have been sent, and the connection failed before a complete answer. */
   record Broken(String reason) implements AttemptResult {}
 
-  /** Bytes may have left, and the time was up. */
+  /** The request may have been sent, and the deadline passed before a complete answer. */
   record TimedOut() implements AttemptResult {}
 }
--- a/core/src/main/java/org/magnoliaswitch/core/request/AttemptRunner.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/AttemptRunner.java
@@ -20,27 +20,30 @@
 import org.magnoliaswitch.core.process.ServerHandle;
 import org.magnoliaswitch.core.process.Timeline;
 
-/** Runs one attempt at one server and learns from how it ended. */
+/** Sends a request to one server and updates the state of the server from the result. */
 public final class AttemptRunner {
-  /** Header by which the remaining time is passed on, in milliseconds. */
+  /** Request header with the time that remains before the deadline, in milliseconds. */
   public static final String DEADLINE_HEADER = "Request-Timeout-Ms";
 
-  /** Header by which the number of the attempt is passed on. */
+  /** Request header with the number of the attempt. */
   public static final String ATTEMPT_HEADER = "Request-Attempt";
 
-  /** Header that carries the request id. */
+  /** Request header with the id of the request. */
   public static final String ID_HEADER = "X-Request-Id";
 
   private static final int CONNECT_TIMEOUT_MILLIS = 250;
 
-  /** A connection that answered so recently is taken to be alive for work that must not be lost. */
+  /**
+   * Maximum time since the last answer on a connection that is reused for a request that must not
+   * be executed twice.
+   */
   private static final long FRESH_CONNECTION_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   private static final long UNLIMITED_IDLE_NANOS = Long.MAX_VALUE;
 
   /**
-   * Servers are declared with an id that they keep over a restart, so an answer does not show that
-   * the process lives which was believed to have ended.
+   * Declared servers keep their id over a restart, so an answer does not show that a process which
+   * was presumed to have crashed is still running.
    */
   private static final String ANY_INCARNATION = "";
 
@@ -50,21 +53,21 @@
   private final Runnable onLeavingChange;
 
   public AttemptRunner(
-      Clocks clocks, Timeline timeline, LeavingServers leaving, Runnable leavingNews) {
+      Clocks clocks, Timeline timeline, LeavingServers leaving, Runnable onLeavingChange) {
     this.clocks = clocks;
     this.timeline = timeline;
     this.leaving = leaving;
-    this.onLeavingChange = leavingNews;
+    this.onLeavingChange = onLeavingChange;
   }
 
-  /** Called while an attempt waits longer than the hedge delay. */
+  /** Notified when an attempt has waited longer than the hedge delay. */
   @FunctionalInterface
   public interface SlowAttemptListener {
-    /** Told once. */
+    /** Called at most once for each attempt. */
     void onSlow();
   }
 
-  /** One attempt that can be cancelled from another thread. */
+  /** One attempt, which can be cancelled by another thread. */
   public final class Attempt {
     private final InboundRequest request;
     private final ServerHandle server;
@@ -81,20 +84,21 @@
       this.exchange = new Exchange(server.pool(), request.deadline(), clocks);
     }
 
-    /** The server tried. */
+    /** The server to which the attempt is sent. */
     public ServerHandle server() {
       return server;
     }
 
-    /** Closes the connection under the attempt. */
+    /** Cancels the attempt by closing its connection. */
     public void cancel() {
       exchange.cancel();
     }
 
     /**
-     * Runs the attempt to its end.
+     * Sends the request and waits for the result.
      *
-     * @param slowAfterNanos wait after which the listener is told, {@link Long#MAX_VALUE} for never
+     * @param slowAfterNanos time without a response head after which the listener is notified,
+     *     {@link Long#MAX_VALUE} for never
      */
     public AttemptResult run(long slowAfterNanos, SlowAttemptListener listener) {
       long started = clocks.nanos();
@@ -156,11 +160,12 @@
     }
 
     private List<Field> requestHeaders() {
-      long left = TimeUnit.NANOSECONDS.toMillis(request.deadline().remaining(clocks.nanos()));
+      long remainingMillis =
+          TimeUnit.NANOSECONDS.toMillis(request.deadline().remaining(clocks.nanos()));
       List<Field> fields = new ArrayList<>();
       fields.add(new Field("Host", server.server().host() + ':' + server.server().port()));
       fields.add(new Field(ID_HEADER, request.id()));
-      fields.add(new Field(DEADLINE_HEADER, String.valueOf(Math.max(1, left))));
+      fields.add(new Field(DEADLINE_HEADER, String.valueOf(Math.max(1, remainingMillis))));
       int attempt = Math.max(number, request.attempt().number());
       fields.add(new Field(ATTEMPT_HEADER, String.valueOf(attempt)));
       return fields;
@@ -171,12 +176,12 @@
       if (header == null || header.getValue() == null) {
         return;
       }
-      Optional<LoadReport> report = LoadReport.parse(header.getValue());
-      report.ifPresent(
-          told -> {
-            server.load().reported(told, clocks.nanos());
-            request.service().admission().reported(told);
-            updateLeaving(told.draining());
+      Optional<LoadReport> parsed = LoadReport.parse(header.getValue());
+      parsed.ifPresent(
+          report -> {
+            server.load().reported(report, clocks.nanos());
+            request.service().admission().reported(report);
+            updateLeaving(report.draining());
           });
     }
 
@@ -220,7 +225,8 @@
 
     private void recordBroken(long now, long started) {
       if (exchange.wasCancelled()) {
-        // The other attempt won. How long this one took is a first-hand sign of a slow server.
+        // The other of two hedged attempts answered first, so the time that this one took shows
+        // that its server is slow.
         server.load().slow(now - started);
         server.load().abandoned();
       } else {
@@ -231,19 +237,22 @@
     }
 
     /**
-     * Whether the server's process is gone shows by the next connection: one that lives takes it.
+     * Checks whether the server's process has exited: a running process accepts a new connection.
      */
     private void checkCrashed() {
       crashes.perhapsEnded(server.id());
-      boolean ended = server.pool().refusesConnections(CONNECT_TIMEOUT_MILLIS);
-      crashes.lookedAt(server.id(), ended, warned);
-      if (ended) {
+      boolean crashed = server.pool().refusesConnections(CONNECT_TIMEOUT_MILLIS);
+      crashes.lookedAt(server.id(), crashed, warned);
+      if (crashed) {
         String identity = crashes.identities().content().toString();
         recordEvent(EventKind.SERVER_ENDED, "identity=" + identity + " warned=" + warned);
       }
     }
 
-    /** An exchange without any sign of life casts doubt on connections of the same age. */
+    /**
+     * Records an exchange without a response. Idle connections without an answer since it began may
+     * be silent too and are not reused.
+     */
     private void recordSilence(long started) {
       server.pool().distrustIdleSince(started);
       recordEvent(EventKind.CONNECTION_SILENT, "attempt=" + number);
@@ -260,11 +269,11 @@
     }
 
     private void updateLeaving(boolean draining) {
-      boolean news =
+      boolean changed =
           draining
               ? leaving.noticed(server.id(), LeavingNotice.Source.REPORT)
               : leaving.returned(server.id(), LeavingNotice.Source.REPORT);
-      if (news) {
+      if (changed) {
         recordEvent(EventKind.SERVER_LEAVING, "sign=report leaving=" + draining);
         onLeavingChange.run();
       }
@@ -275,7 +284,7 @@
     }
   }
 
-  /** Prepares an attempt. */
+  /** Creates an attempt without starting it. */
   public Attempt prepare(
       InboundRequest request, ServerHandle server, int number, RequestCrashes crashes) {
     return new Attempt(request, server, number, crashes);
--- a/core/src/main/java/org/magnoliaswitch/core/request/Deadline.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/Deadline.java
@@ -3,22 +3,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The time by which a caller needs its answer.
+ * The time by which a caller needs the answer.
  *
  * @param atNanos monotonic time
  */
 public record Deadline(long atNanos) {
-  /** A deadline some milliseconds from now. */
+  /** Creates a deadline that is the given number of milliseconds from now. */
   public static Deadline after(long nowNanos, long millis) {
     return new Deadline(nowNanos + TimeUnit.MILLISECONDS.toNanos(millis));
   }
 
-  /** Time left in nanoseconds; negative when it has passed. */
+  /** Remaining time in nanoseconds; negative after the deadline. */
   public long remaining(long nowNanos) {
     return atNanos - nowNanos;
   }
 
-  /** Whether it has passed. */
+  /** Whether the deadline has passed. */
   public boolean expired(long nowNanos) {
     return remaining(nowNanos) <= 0;
   }
--- a/core/src/main/java/org/magnoliaswitch/core/request/Dispatcher.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/Dispatcher.java
@@ -28,17 +28,20 @@
 import org.magnoliaswitch.core.version.ServerState;
 
 /**
- * Admits a request, chooses servers and tries them within the retry budget.
+ * Admits a request, chooses servers and sends attempts to them within the retry budget.
  *
- * <p>A further attempt is made only when the one before cannot have executed the request, or when
- * executing it twice does no harm.
+ * <p>A further attempt is made only if the previous one cannot have executed the request, or if
+ * executing the request twice does no harm.
  */
 public final class Dispatcher {
-  /** A request that waited would keep its thread, and turned away it never gets its trial. */
-  private static final long NO_TRIAL_NOTICE_NANOS = 0;
+  /**
+   * No wait for reports of trials on other instances: a request that waits would block its thread,
+   * and a request that is rejected instead would never get its trial.
+   */
+  private static final long TRIAL_PROPAGATION_NANOS = 0;
 
-  /** Why a request under which servers end is not sent. */
-  static final String CRASHES_SERVERS = "servers end under this request";
+  /** Reason given when a request is not sent because servers crash while serving it. */
+  static final String CRASHES_SERVERS = "servers crash while serving this request";
 
   private static final int SERVICE_UNAVAILABLE = 503;
   private static final int GATEWAY_TIMEOUT = 504;
@@ -46,7 +49,9 @@
   private static final long NEVER = Long.MAX_VALUE;
   private static final long MIN_HEDGE_NANOS = 1_000_000L;
 
-  /** Quantile of latency that a request needs at least, for it to be worth sending. */
+  /**
+   * Quantile of the latency that must fit before the deadline for a request to be worth sending.
+   */
   private static final double EXPECTED_LATENCY_QUANTILE = 0.5;
 
   private final Clocks clocks;
@@ -74,18 +79,19 @@
     this.random = random;
   }
 
-  /** Serves a request that may be sent now. */
+  /** Serves a request that may be executed now. */
   public Reply dispatch(InboundRequest request) {
     RequestCrashes crashes = crashes(request);
-    Verdict allowed = crashes.verdict();
-    if (allowed == Verdict.REFUSED || allowed == Verdict.WAIT) {
+    Verdict crashVerdict = crashes.verdict();
+    if (crashVerdict == Verdict.REFUSED || crashVerdict == Verdict.WAIT) {
       return reject(request, crashes);
     }
     ServiceAdmission admission = request.service().admission();
     long now = clocks.nanos();
-    long usual = request.service().counters().latency().quantile(EXPECTED_LATENCY_QUANTILE, now, 0);
+    long expectedLatency =
+        request.service().counters().latency().quantile(EXPECTED_LATENCY_QUANTILE, now, 0);
     ServiceAdmission.Verdict verdict =
-        admission.admit(request.kind(), request.deadline().atNanos() - usual);
+        admission.admit(request.kind(), request.deadline().atNanos() - expectedLatency);
     if (verdict != ServiceAdmission.Verdict.ADMITTED) {
       timeline.record(
           EventKind.REQUEST_SHED,
@@ -112,11 +118,14 @@
     return new RequestCrashes(
         crashWatch,
         clocks,
-        NO_TRIAL_NOTICE_NANOS,
+        TRIAL_PROPAGATION_NANOS,
         () -> RequestCrashes.Identities.of(request.identity(), request.caller()));
   }
 
-  /** Told at once, since waiting would not help; nothing of this try has been sent. */
+  /**
+   * Rejects the request at once, since waiting would not help; nothing of this caller's attempt has
+   * been sent.
+   */
   private Reply reject(InboundRequest request, RequestCrashes crashes) {
     String service = request.service().service().name();
     timeline.record(EventKind.REQUEST_SHED, request.id(), service, "", "verdict=ENDS_SERVERS");
@@ -127,15 +136,15 @@
 
   private static Reply releaseOnCompletion(Reply reply, ServiceAdmission admission) {
     Reply.Body.Streaming body = (Reply.Body.Streaming) reply.body();
-    Reply.CompletionListener end =
-        whole -> {
+    Reply.CompletionListener listener =
+        complete -> {
           admission.release();
-          body.completion().completed(whole);
+          body.completion().completed(complete);
         };
     return new Reply(
         reply.status(),
         reply.fields(),
-        new Reply.Body.Streaming(body.stream(), body.length(), end),
+        new Reply.Body.Streaming(body.stream(), body.length(), listener),
         reply.outcome());
   }
 
@@ -147,34 +156,36 @@
     if (!outerRetry) {
       budget.earn(policy.budgetRatio());
     }
-    Set<String> tried = new HashSet<>();
-    AttemptResult last = new AttemptResult.NotSent("no server can take it");
+    Set<String> attemptedServers = new HashSet<>();
+    AttemptResult result = new AttemptResult.NotSent("no eligible server");
     for (int number = 1; number <= policy.maxAttempts(); number++) {
-      if (number > 1 && !(mayRetry(request, last, outerRetry, crashes) && budget.spend())) {
+      if (number > 1 && !(mayRetry(request, result, outerRetry, crashes) && budget.spend())) {
         break;
       }
-      Optional<ServerHandle> server = choose(service, tried);
+      Optional<ServerHandle> server = choose(service, attemptedServers);
       if (server.isEmpty() || request.deadline().expired(clocks.nanos())) {
         break;
       }
-      tried.add(server.get().id());
-      last = combine(last, attempt(request, server.get(), number, tried, budget, crashes));
-      if (last instanceof AttemptResult.Answered answered) {
+      attemptedServers.add(server.get().id());
+      result =
+          combine(
+              result, attempt(request, server.get(), number, attemptedServers, budget, crashes));
+      if (result instanceof AttemptResult.Answered answered) {
         return answered.reply();
       }
     }
-    return finalReply(request, last);
+    return finalReply(request, result);
   }
 
   /**
-   * Whether a further attempt does no harm.
+   * Whether a further attempt may be made.
    *
-   * <p>A server's refusal is not repeated within a request that an outer layer retries already:
-   * with calls seven deep, retries at each layer would multiply.
+   * <p>A refused request is not retried here if an outer layer already retries it: with seven
+   * layers of calls, the retries of each layer would multiply.
    */
   private static boolean mayRetry(
-      InboundRequest request, AttemptResult last, boolean outerRetry, RequestCrashes crashes) {
-    return switch (last) {
+      InboundRequest request, AttemptResult result, boolean outerRetry, RequestCrashes crashes) {
+    return switch (result) {
       case AttemptResult.Answered answered -> false;
       case AttemptResult.NotSent notSent -> crashes.mayRepeat();
       case AttemptResult.Refused refused -> !outerRetry && request.repeatable();
@@ -185,10 +196,10 @@
   }
 
   /**
-   * What two attempts amount to together.
+   * Combines the results of two attempts.
    *
-   * <p>Without this, a broken attempt followed by one that was not sent would be told as not
-   * executed, although the first may have been.
+   * <p>Without this, a broken attempt followed by one that was not sent would be reported as not
+   * executed, although the first may have been executed.
    */
   private static AttemptResult combine(AttemptResult earlier, AttemptResult later) {
     boolean earlierMayHaveRun =
@@ -202,7 +213,7 @@
       InboundRequest request,
       ServerHandle server,
       int number,
-      Set<String> tried,
+      Set<String> attemptedServers,
       RetryBudget budget,
       RequestCrashes crashes) {
     AttemptRunner.Attempt first = runner.prepare(request, server, number, crashes);
@@ -220,7 +231,7 @@
     AttemptResult result =
         first.run(
             hedgeDelay(request, policy),
-            () -> hedge.set(startHedge(request, first, number, tried, budget, crashes)));
+            () -> hedge.set(startHedge(request, first, number, attemptedServers, budget, crashes)));
     Hedge second = hedge.get();
     return second == null ? result : firstAnswer(request, result, second);
   }
@@ -229,23 +240,23 @@
 
   private long hedgeDelay(InboundRequest request, RetryPolicy policy) {
     long fallback = request.deadline().remaining(clocks.nanos()) / 2;
-    long learnt =
+    long quantile =
         request
             .service()
             .counters()
             .latency()
             .quantile(policy.hedgeQuantile(), clocks.nanos(), fallback);
-    return Math.max(MIN_HEDGE_NANOS, learnt);
+    return Math.max(MIN_HEDGE_NANOS, quantile);
   }
 
   private @Nullable Hedge startHedge(
       InboundRequest request,
       AttemptRunner.Attempt first,
       int number,
-      Set<String> tried,
+      Set<String> attemptedServers,
       RetryBudget budget,
       RequestCrashes crashes) {
-    Optional<ServerHandle> other = choose(request.service(), tried);
+    Optional<ServerHandle> other = choose(request.service(), attemptedServers);
     ServiceAdmission admission = request.service().admission();
     if (other.isEmpty() || !admission.takeSpareRoom()) {
       return null;
@@ -255,7 +266,7 @@
       return null;
     }
     first.server().load().slow(hedgeDelay(request, request.service().profile().retry()));
-    tried.add(other.get().id());
+    attemptedServers.add(other.get().id());
     AttemptRunner.Attempt attempt = runner.prepare(request, other.get(), number + 1, crashes);
     CompletableFuture<AttemptResult> future = new CompletableFuture<>();
     Thread.ofVirtual()
@@ -263,8 +274,8 @@
         .start(
             () -> {
               AttemptResult result = runHedge(attempt, admission);
-              boolean wins = result instanceof AttemptResult.Answered;
-              if (future.complete(result) && wins) {
+              boolean answered = result instanceof AttemptResult.Answered;
+              if (future.complete(result) && answered) {
                 first.cancel();
               }
             });
@@ -281,15 +292,15 @@
 
   private AttemptResult firstAnswer(InboundRequest request, AttemptResult result, Hedge second) {
     if (result instanceof AttemptResult.Answered) {
-      if (!second.result().complete(new AttemptResult.Broken("lost"))) {
+      if (!second.result().complete(new AttemptResult.Broken("the other attempt answered first"))) {
         discard(second.result().join());
       }
       second.attempt().cancel();
       return result;
     }
     try {
-      long left = Math.max(0, request.deadline().remaining(clocks.nanos()));
-      return combine(result, second.result().get(left, TimeUnit.NANOSECONDS));
+      long remaining = Math.max(0, request.deadline().remaining(clocks.nanos()));
+      return combine(result, second.result().get(remaining, TimeUnit.NANOSECONDS));
     } catch (ExecutionException | TimeoutException e) {
       second.attempt().cancel();
       return new AttemptResult.TimedOut();
@@ -300,22 +311,25 @@
     }
   }
 
-  /** Closes the connection of a streamed answer that lost. */
+  /**
+   * Closes the connection of a streamed answer that is not used because the other attempt answered
+   * first.
+   */
   private static void discard(AttemptResult result) {
     if (result instanceof AttemptResult.Answered answered
         && answered.reply().body() instanceof Reply.Body.Streaming streaming) {
       try {
         streaming.completion().completed(false);
       } catch (java.io.IOException e) {
-        // The answer was not wanted; a failure to close it changes nothing for the caller.
+        // The answer is not used, so a failure to close its connection does not affect the caller.
         return;
       }
     }
   }
 
-  private Optional<ServerHandle> choose(ServiceState service, Set<String> tried) {
+  private Optional<ServerHandle> choose(ServiceState service, Set<String> attemptedServers) {
     long now = clocks.nanos();
-    List<ServerHandle> eligible = eligible(service, tried, now);
+    List<ServerHandle> eligible = eligible(service, attemptedServers, now);
     return ServerChooser.choose(
         service.profile().routing(),
         eligible,
@@ -325,37 +339,41 @@
         random.get());
   }
 
-  private List<ServerHandle> eligible(ServiceState service, Set<String> tried, long now) {
-    List<ServerHandle> open = new ArrayList<>();
+  private List<ServerHandle> eligible(
+      ServiceState service, Set<String> attemptedServers, long now) {
+    List<ServerHandle> available = new ArrayList<>();
     List<ServerHandle> ejected = new ArrayList<>();
     for (ServerHandle handle : service.servers()) {
-      boolean may =
+      boolean sendable =
           handle.server().state() == ServerState.ACTIVE
               && !leaving.leaving(handle.id())
               && !handle.load().pause().active(now)
-              && !tried.contains(handle.id());
-      if (may && handle.load().ejection().active(now)) {
+              && !attemptedServers.contains(handle.id());
+      if (sendable && handle.load().ejection().active(now)) {
         ejected.add(handle);
-      } else if (may) {
-        open.add(handle);
+      } else if (sendable) {
+        available.add(handle);
       }
     }
-    return open.isEmpty() ? ejected : open;
+    return available.isEmpty() ? ejected : available;
   }
 
-  private static Reply finalReply(InboundRequest request, AttemptResult last) {
+  private static Reply finalReply(InboundRequest request, AttemptResult result) {
     int retryAfter = request.service().admission().retryAfterSeconds();
-    return switch (last) {
+    return switch (result) {
       case AttemptResult.Answered answered -> answered.reply();
       case AttemptResult.NotSent notSent ->
-          Reply.local(SERVICE_UNAVAILABLE, Outcome.NOT_EXECUTED, "no server reached", retryAfter);
+          Reply.local(
+              SERVICE_UNAVAILABLE, Outcome.NOT_EXECUTED, "no server could be reached", retryAfter);
       case AttemptResult.Refused refused ->
           Reply.local(
               SERVICE_UNAVAILABLE, Outcome.NOT_EXECUTED, "refused by the server", retryAfter);
       case AttemptResult.Broken broken ->
-          Reply.local(BAD_GATEWAY, Outcome.UNKNOWN, "the answer was cut short", 0);
+          Reply.local(
+              BAD_GATEWAY, Outcome.UNKNOWN, "the connection failed before a complete answer", 0);
       case AttemptResult.TimedOut timedOut ->
-          Reply.local(GATEWAY_TIMEOUT, Outcome.UNKNOWN, "no answer in time", 0);
+          Reply.local(
+              GATEWAY_TIMEOUT, Outcome.UNKNOWN, "no complete answer before the deadline", 0);
     };
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/request/Exchange.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/Exchange.java
@@ -26,19 +26,23 @@
 import org.magnoliaswitch.core.connection.ConnectionPool;
 
 /**
- * One request and its answer on one connection.
+ * One request and its response on one connection.
  *
- * <p>The connection goes back to its pool only after a whole answer. In every other case it is
- * closed, so that a late or half-read answer can never meet another request.
+ * <p>The connection returns to its pool only after a complete response. In every other case it is
+ * closed, so that a late or partly read response is never taken for the response to another
+ * request.
  */
 public final class Exchange {
-  /** Larger answers are passed on while they arrive. */
+  /**
+   * Size of a body in bytes up to which a request is buffered and from which on a response is
+   * forwarded as a stream.
+   */
   public static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
   private final ConnectionPool pool;
   private final Clocks clocks;
   private final Deadline deadline;
-  private final AtomicBoolean ended = new AtomicBoolean();
+  private final AtomicBoolean released = new AtomicBoolean();
   private final AtomicBoolean cancelled = new AtomicBoolean();
   private volatile @Nullable BackendConnection connection;
   private volatile boolean mayHaveSentBytes;
@@ -49,68 +53,68 @@
     this.clocks = clocks;
   }
 
-  /** What the head of a response told. */
+  /** Status and headers of a response. */
   public record Head(ClassicHttpResponse response) {}
 
-  /** Whether anything may have reached the server. */
+  /** Whether any part of the request may have reached the server. */
   public boolean mayHaveSentBytes() {
     return mayHaveSentBytes;
   }
 
-  /** When the connection in use was opened, or the time now when there is none. */
+  /** When the current connection was opened, or the current time if there is none. */
   public long connectionOpenedNanos() {
-    BackendConnection used = connection;
-    return used == null ? clocks.nanos() : used.openedNanos();
+    BackendConnection current = connection;
+    return current == null ? clocks.nanos() : current.openedNanos();
   }
 
-  /** Takes or opens a connection. */
+  /** Acquires an idle connection or opens a new one. */
   public void connect(long maxIdleNanos, int connectTimeoutMillis) throws IOException {
-    long left = TimeUnit.NANOSECONDS.toMillis(deadline.remaining(clocks.nanos()));
-    int timeout = (int) Math.max(1, Math.min(connectTimeoutMillis, left));
+    long remaining = TimeUnit.NANOSECONDS.toMillis(deadline.remaining(clocks.nanos()));
+    int timeout = (int) Math.max(1, Math.min(connectTimeoutMillis, remaining));
     connection = pool.acquire(maxIdleNanos, timeout);
     if (cancelled.get()) {
       releaseConnection(false);
-      throw new IOException("cancelled");
+      throw new IOException("the exchange was cancelled");
     }
   }
 
   /**
    * Sends the request.
    *
-   * <p>The deadline is looked at last of all: a process that was paused after it decided to send
-   * must not do so when the caller has long been told otherwise.
+   * <p>The deadline is checked immediately before writing: a process that was paused after it
+   * decided to send must not send after its caller has received another answer.
    */
   public void send(ClassicHttpRequest request) throws IOException, HttpException {
     if (deadline.expired(clocks.nanos())) {
-      throw new SocketTimeoutException("the deadline passed before sending");
+      throw new SocketTimeoutException("the deadline passed before the request was sent");
     }
-    BackendConnection used = activeConnection();
+    BackendConnection current = activeConnection();
     mayHaveSentBytes = true;
-    used.send(request);
+    current.send(request);
   }
 
   /**
    * Waits for the response head.
    *
-   * @return nothing when the wait was over first; it can be called again
+   * @return null if the wait ended first; the method can then be called again
    */
   public @Nullable Head awaitHead(long waitNanos) throws IOException, HttpException {
-    BackendConnection used = activeConnection();
-    long left = Math.min(waitNanos, deadline.remaining(clocks.nanos()));
-    if (left <= 0) {
+    BackendConnection current = activeConnection();
+    long remaining = Math.min(waitNanos, deadline.remaining(clocks.nanos()));
+    if (remaining <= 0) {
       return null;
     }
-    used.setReadTimeout(left);
+    current.setReadTimeout(remaining);
     try {
-      return new Head(used.receiveHead());
+      return new Head(current.receiveHead());
     } catch (SocketTimeoutException e) {
       return null;
     }
   }
 
-  /** Reads a small body whole, or hands a large one on as a stream. */
+  /** Reads a small body completely, or returns a large one as a stream. */
   public Reply receive(Head head, String method) throws IOException, HttpException {
-    BackendConnection used = activeConnection();
+    BackendConnection current = activeConnection();
     ClassicHttpResponse response = head.response();
     List<Field> fields = endToEndFields(response);
     if (!hasBody(response, method)) {
@@ -118,45 +122,47 @@
       return new Reply(
           response.getCode(), fields, new Reply.Body.Buffered(new byte[0]), Outcome.EXECUTED);
     }
-    used.receiveBody(response);
+    current.receiveBody(response);
     HttpEntity entity = response.getEntity();
     if (entity.getContentLength() < 0 && !entity.isChunked()) {
-      // Without a length or chunks the end of the connection ends the body, so a body cut short
-      // could not be told from a whole one.
-      throw new IOException("the answer has neither a length nor chunks");
+      // Without a length or chunks the end of the connection ends the body, so a truncated body
+      // could not be distinguished from a complete one.
+      throw new IOException("the response body has neither a Content-Length nor chunks");
     }
-    InputStream content = new DeadlineStream(entity.getContent(), used);
+    InputStream content = new DeadlineStream(entity.getContent(), current);
     byte[] start = readStart(content, entity.getContentLength());
     if (start.length < MAX_BUFFERED_BYTES) {
       releaseAfter(response);
       return new Reply(
           response.getCode(), fields, new Reply.Body.Buffered(start), Outcome.EXECUTED);
     }
-    InputStream whole =
+    InputStream body =
         new java.io.SequenceInputStream(new java.io.ByteArrayInputStream(start), content);
-    Reply.CompletionListener end = read -> finishStream(read, response);
+    Reply.CompletionListener listener = complete -> finishStream(complete, response);
     return new Reply(
         response.getCode(),
         fields,
-        new Reply.Body.Streaming(whole, entity.getContentLength(), end),
+        new Reply.Body.Streaming(body, entity.getContentLength(), listener),
         Outcome.EXECUTED);
   }
 
   /**
-   * Reading without a known length takes 16 KB of heap at a time, most of an exchange's garbage.
+   * Reads the body, or the beginning of a large one. A body of known length is read into an array
+   * of that length, because reading without a length allocates 16 KB at a time, most of the garbage
+   * of an exchange.
    */
   private static byte[] readStart(InputStream content, long length) throws IOException {
     if (length < 0 || length >= MAX_BUFFERED_BYTES) {
       return content.readNBytes(MAX_BUFFERED_BYTES);
     }
-    byte[] whole = new byte[(int) length];
-    if (content.readNBytes(whole, 0, whole.length) < whole.length) {
-      throw new IOException("the answer was cut short");
+    byte[] body = new byte[(int) length];
+    if (content.readNBytes(body, 0, body.length) < body.length) {
+      throw new IOException("the response body is shorter than its Content-Length");
     }
-    return whole;
+    return body;
   }
 
-  /** Closes the connection under an exchange that is no longer wanted; safe from any thread. */
+  /** Cancels the exchange by closing its connection; may be called by any thread. */
   public void cancel() {
     cancelled.set(true);
     releaseConnection(false);
@@ -167,12 +173,12 @@
     return cancelled.get();
   }
 
-  /** Ends the exchange without a whole answer. */
+  /** Closes the connection of an exchange without a complete response. */
   public void fail() {
     releaseConnection(false);
   }
 
-  /** Builds the request as it goes to the server. */
+  /** Builds the request that is sent to the server. */
   public static ClassicHttpRequest outbound(InboundRequest request, List<Field> extra) {
     BasicClassicHttpRequest outbound =
         new BasicClassicHttpRequest(request.method(), request.target());
@@ -181,11 +187,11 @@
         .forEach(field -> outbound.addHeader(field.name(), field.value()));
     extra.forEach(field -> outbound.setHeader(field.name(), field.value()));
     switch (request.body()) {
-      case InboundRequest.Body.Buffered whole -> {
-        boolean sendsLength = whole.content().length > 0 || !Method.GET.isSame(request.method());
+      case InboundRequest.Body.Buffered buffered -> {
+        boolean sendsLength = buffered.content().length > 0 || !Method.GET.isSame(request.method());
         if (sendsLength) {
-          outbound.setHeader(HttpHeaders.CONTENT_LENGTH, String.valueOf(whole.content().length));
-          outbound.setEntity(new ByteArrayEntity(whole.content(), null));
+          outbound.setHeader(HttpHeaders.CONTENT_LENGTH, String.valueOf(buffered.content().length));
+          outbound.setEntity(new ByteArrayEntity(buffered.content(), null));
         }
       }
       case InboundRequest.Body.Streaming streaming -> {
@@ -200,8 +206,8 @@
     return outbound;
   }
 
-  private void finishStream(boolean read, ClassicHttpResponse response) {
-    if (read) {
+  private void finishStream(boolean complete, ClassicHttpResponse response) {
+    if (complete) {
       releaseAfter(response);
     } else {
       releaseConnection(false);
@@ -209,29 +215,29 @@
   }
 
   private void releaseAfter(ClassicHttpResponse response) {
-    boolean keep =
+    boolean keepAlive =
         DefaultConnectionReuseStrategy.INSTANCE.keepAlive(null, response, HttpCoreContext.create());
-    releaseConnection(keep);
+    releaseConnection(keepAlive);
   }
 
-  private void releaseConnection(boolean keep) {
-    BackendConnection used = connection;
-    if (used == null || !ended.compareAndSet(false, true)) {
+  private void releaseConnection(boolean keepAlive) {
+    BackendConnection current = connection;
+    if (current == null || !released.compareAndSet(false, true)) {
       return;
     }
-    if (keep) {
-      pool.release(used);
+    if (keepAlive) {
+      pool.release(current);
     } else {
-      pool.discard(used);
+      pool.discard(current);
     }
   }
 
   private BackendConnection activeConnection() throws IOException {
-    BackendConnection used = connection;
-    if (used == null || ended.get()) {
-      throw new IOException("the exchange has ended");
+    BackendConnection current = connection;
+    if (current == null || released.get()) {
+      throw new IOException("the exchange has no open connection");
     }
-    return used;
+    return current;
   }
 
   private static List<Field> endToEndFields(ClassicHttpResponse response) {
@@ -252,13 +258,13 @@
         && status != HttpStatus.SC_NOT_MODIFIED;
   }
 
-  /** Bounds every read by what is left of the deadline. */
+  /** Limits the duration of each read to the time that remains before the deadline. */
   private final class DeadlineStream extends java.io.FilterInputStream {
-    private final BackendConnection used;
+    private final BackendConnection current;
 
-    private DeadlineStream(InputStream in, BackendConnection used) {
+    private DeadlineStream(InputStream in, BackendConnection current) {
       super(in);
-      this.used = used;
+      this.current = current;
     }
 
     @Override
@@ -274,11 +280,12 @@
     }
 
     private void updateReadTimeout() throws IOException {
-      long left = deadline.remaining(clocks.nanos());
-      if (left <= 0) {
-        throw new SocketTimeoutException("the deadline passed within the answer");
+      long remaining = deadline.remaining(clocks.nanos());
+      if (remaining <= 0) {
+        throw new SocketTimeoutException(
+            "the deadline passed before the response body was complete");
       }
-      used.setReadTimeout(left);
+      current.setReadTimeout(remaining);
     }
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/request/Field.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/Field.java
@@ -10,7 +10,7 @@
  * @param value as received
  */
 public record Field(String name, String value) {
-  /** Fields that end at each connection (RFC 9110, section 7.6.1), and framing fields. */
+  /** Hop-by-hop fields (RFC 9110, section 7.6.1) and framing fields. */
   private static final Set<String> HOP_BY_HOP =
       Set.of(
           "connection",
@@ -25,12 +25,12 @@
           "content-length",
           "expect");
 
-  /** Whether the field has a name, case ignored. */
+  /** Whether the field has the given name, ignoring case. */
   public boolean hasName(String other) {
     return name.equalsIgnoreCase(other);
   }
 
-  /** Whether the field concerns one connection only and is not passed on. */
+  /** Whether the field applies to one connection only and is not forwarded. */
   public boolean hopByHop() {
     return HOP_BY_HOP.contains(name.toLowerCase(Locale.ROOT));
   }
--- a/core/src/main/java/org/magnoliaswitch/core/request/HolderForwarder.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/HolderForwarder.java
@@ -11,9 +11,9 @@
 import org.magnoliaswitch.core.peer.Address;
 import org.magnoliaswitch.core.peer.Member;
 
-/** Passes a request on to the instance whose incarnation holds its key. */
+/** Forwards a request to the instance whose incarnation holds its idempotency key. */
 public final class HolderForwarder implements KeyHolderClient {
-  /** Marks a request that was passed on once already, so that it is not passed on again. */
+  /** Request header of a forwarded request, which must not be forwarded again. */
   public static final String HOP_HEADER = "Key-Holder-Hop";
 
   private static final int CONNECT_TIMEOUT_MILLIS = 250;
@@ -52,17 +52,21 @@
   }
 
   private List<Field> hopFields(InboundRequest request, Member holder) {
-    long left = TimeUnit.NANOSECONDS.toMillis(request.deadline().remaining(clocks.nanos()));
+    long remainingMillis =
+        TimeUnit.NANOSECONDS.toMillis(request.deadline().remaining(clocks.nanos()));
     return List.of(
         new Field("Host", holder.callerAddress().toString()),
         new Field(HOP_HEADER, "1"),
         new Field(AttemptRunner.ID_HEADER, request.id()),
-        new Field(AttemptRunner.DEADLINE_HEADER, String.valueOf(Math.max(1, left))));
+        new Field(AttemptRunner.DEADLINE_HEADER, String.valueOf(Math.max(1, remainingMillis))));
   }
 
-  /** The holder's outcome; an answer without one did not come from an instance of this system. */
+  /**
+   * Reads the outcome from the holder's header; a response without one did not come from an
+   * instance of this system.
+   */
   private static Reply withOutcome(Reply reply) {
-    String told =
+    String headerValue =
         reply.fields().stream()
             .filter(field -> field.hasName(Outcome.HEADER))
             .map(Field::value)
@@ -70,7 +74,7 @@
             .orElse("");
     Outcome outcome = Outcome.UNKNOWN;
     for (Outcome candidate : Outcome.values()) {
-      if (candidate.text().equals(told)) {
+      if (candidate.text().equals(headerValue)) {
         outcome = candidate;
       }
     }
--- a/core/src/main/java/org/magnoliaswitch/core/request/KeyHolderClient.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/KeyHolderClient.java
@@ -2,9 +2,9 @@
 
 import org.magnoliaswitch.core.peer.Member;
 
-/** Way to the instances that hold keys. */
+/** Client for the instances that hold idempotency keys. */
 @FunctionalInterface
 public interface KeyHolderClient {
-  /** Sends a request to the holder of its key and takes its whole answer. */
+  /** Forwards a request to the holder of its key and waits for the answer. */
   AttemptResult forward(InboundRequest request, Member holder);
 }
--- a/core/src/main/java/org/magnoliaswitch/core/request/Outcome.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/Outcome.java
@@ -1,20 +1,24 @@
 package org.magnoliaswitch.core.request;
 
-/** What became of a request, as its caller is told. */
+/** What became of a request, as reported to its caller. */
 public enum Outcome {
-  /** A backend server executed it and this is its whole answer. */
+  /** A backend server executed the request, and the reply is its complete answer. */
   EXECUTED("executed"),
-  /** No backend server executed it, and none will under this key unless it is sent again. */
+  /**
+   * No backend server executed the request, and none will for this key unless the request is sent
+   * again.
+   */
   NOT_EXECUTED("not-executed"),
-  /** It may or may not have been executed. */
+  /** The request may or may not have been executed. */
   UNKNOWN("unknown");
 
-  /** Response header that carries the outcome. */
+  /** Response header with the outcome. */
   public static final String HEADER = "Request-Outcome";
 
   /**
-   * Response header that says {@code not-executed} when this copy of a request was not executed,
-   * although nobody can tell of earlier ones. A caller whose every copy was told so knows the rest.
+   * Response header with the value {@code not-executed} when this copy of a request was not
+   * executed, while the outcome of earlier copies is unknown. A caller that receives it for every
+   * copy knows that the request was not executed.
    */
   public static final String ATTEMPT_OUTCOME_HEADER = "Attempt-Outcome";
 
@@ -24,7 +28,7 @@
     this.text = text;
   }
 
-  /** The header value. */
+  /** Value of the header. */
   public String text() {
     return text;
   }
--- a/core/src/main/java/org/magnoliaswitch/core/request/OutcomeAwaiter.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/OutcomeAwaiter.java
@@ -7,18 +7,18 @@
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.core.process.KeyOutcome;
 
-/** Waits for another request under the same key. */
+/** Waits for the outcome of another request with the same idempotency key. */
 @FunctionalInterface
 public interface OutcomeAwaiter {
-  /** The outcome, or {@link KeyOutcome.Running} when the deadline came first. */
+  /** Returns the outcome, or {@link KeyOutcome.Running} if the deadline passes first. */
   KeyOutcome await(CompletableFuture<KeyOutcome> run, Deadline deadline);
 
-  /** Blocks the calling thread. */
+  /** Creates an awaiter that blocks the calling thread. */
   static OutcomeAwaiter blocking(Clocks clocks) {
     return (run, deadline) -> {
       try {
-        long left = Math.max(0, deadline.remaining(clocks.nanos()));
-        return run.get(left, TimeUnit.NANOSECONDS);
+        long remaining = Math.max(0, deadline.remaining(clocks.nanos()));
+        return run.get(remaining, TimeUnit.NANOSECONDS);
       } catch (ExecutionException | TimeoutException e) {
         return new KeyOutcome.Running();
       } catch (InterruptedException e) {
--- a/core/src/main/java/org/magnoliaswitch/core/request/Reply.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/Reply.java
@@ -8,11 +8,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the caller is answered.
+ * The reply to a caller.
  *
  * @param status HTTP status
- * @param fields header fields, framing left out
- * @param body its body
+ * @param fields header fields without those for framing
+ * @param body body of the reply
  * @param outcome what became of the request
  */
 public record Reply(int status, List<Field> fields, Body body, Outcome outcome) {
@@ -22,28 +22,28 @@
 
   /** The body of a reply. */
   public sealed interface Body {
-    /** A body held whole. */
+    /** A body in memory. */
     record Buffered(byte[] content) implements Body {}
 
     /**
-     * A body passed on while it arrives.
+     * A body that is forwarded while it is received.
      *
-     * @param stream fails when the body is cut short
-     * @param length its length, or -1 when not known
-     * @param end called once with whether all was passed on
+     * @param stream content; reading fails if the body is truncated
+     * @param length length in bytes, or -1 if unknown
+     * @param completion called once with whether the complete body was forwarded
      */
     record Streaming(InputStream stream, long length, CompletionListener completion)
         implements Body {}
   }
 
-  /** Takes the end of a streamed body. */
+  /** Notified when a streaming body has been forwarded or abandoned. */
   @FunctionalInterface
   public interface CompletionListener {
-    /** Called with whether the whole body was read. */
-    void completed(boolean whole) throws IOException;
+    /** Called with whether the complete body was read. */
+    void completed(boolean complete) throws IOException;
   }
 
-  /** A reply made by this instance. */
+  /** Creates a reply of this instance itself, as opposed to one of a backend server. */
   public static Reply local(int status, Outcome outcome, String reason, int retryAfterSeconds) {
     List<Field> fields = new ArrayList<>();
     fields.add(new Field("Content-Type", "application/json"));
@@ -56,23 +56,23 @@
   }
 
   /**
-   * A reply to a copy of a request that was certainly not executed, while earlier copies under its
-   * key may have been.
+   * Creates a reply to a copy of a request that was certainly not executed, while earlier copies
+   * with the same key may have been executed.
    */
   public static Reply attemptNotExecuted(int status, String reason, int retryAfterSeconds) {
     return local(status, Outcome.UNKNOWN, reason, retryAfterSeconds)
         .withField(new Field(Outcome.ATTEMPT_OUTCOME_HEADER, Outcome.NOT_EXECUTED.text()));
   }
 
-  /** The same reply with one more field. */
+  /** Returns a copy of this reply with an additional header field. */
   public Reply withField(Field field) {
-    List<Field> more = new ArrayList<>(fields);
-    more.add(field);
-    return new Reply(status, more, body, outcome);
+    List<Field> extended = new ArrayList<>(fields);
+    extended.add(field);
+    return new Reply(status, extended, body, outcome);
   }
 
-  /** The body when it is held whole. */
+  /** The body if it is in memory, otherwise null. */
   public byte @Nullable [] bufferedBody() {
-    return body instanceof Body.Buffered held ? held.content() : null;
+    return body instanceof Body.Buffered buffered ? buffered.content() : null;
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/request/RequestService.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/RequestService.java
@@ -6,11 +6,11 @@
 import org.magnoliaswitch.core.process.EventKind;
 import org.magnoliaswitch.core.process.Timeline;
 
-/** Serves callers' requests: the whole path of a request behind the listener. */
+/** Serves callers' requests from the listener to the reply. */
 public final class RequestService {
-  private final AtMostOnceExecutor gate;
+  private final AtMostOnceExecutor atMostOnceExecutor;
   private final Dispatcher dispatcher;
-  private final AtMostOnceExecutor.Dependencies parts;
+  private final AtMostOnceExecutor.Dependencies dependencies;
   private final HolderForwarder forwarder;
   private final Timeline timeline;
 
@@ -29,7 +29,7 @@
             dataCentre,
             ThreadLocalRandom::current);
     this.forwarder = new HolderForwarder(control.clocks());
-    this.parts =
+    this.dependencies =
         new AtMostOnceExecutor.Dependencies(
             control.issuer(),
             control.ledger(),
@@ -38,9 +38,9 @@
             state.membership(),
             forwarder,
             OutcomeAwaiter.blocking(control.clocks()));
-    this.gate =
+    this.atMostOnceExecutor =
         new AtMostOnceExecutor(
-            parts, dispatcher::dispatch, callersBalancerResends, control.clocks(), timeline);
+            dependencies, dispatcher::dispatch, callersBalancerResends, control.clocks(), timeline);
   }
 
   /** Serves one request. */
@@ -48,7 +48,8 @@
     String service = request.service().service().name();
     timeline.record(
         EventKind.REQUEST_RECEIVED, request.id(), service, "", "kind=" + request.kind().name());
-    Reply reply = request.idempotent() ? dispatcher.dispatch(request) : gate.serve(request);
+    Reply reply =
+        request.idempotent() ? dispatcher.dispatch(request) : atMostOnceExecutor.serve(request);
     timeline.record(
         EventKind.REQUEST_ENDED,
         request.id(),
@@ -58,12 +59,12 @@
     return reply;
   }
 
-  /** Looks up what became of keys. */
+  /** Returns the lookup of outcomes by idempotency key. */
   public OutcomeQuery outcomes() {
-    return new OutcomeQuery(parts);
+    return new OutcomeQuery(dependencies);
   }
 
-  /** Way to other instances. */
+  /** Returns the client that forwards requests to other instances. */
   public HolderForwarder forwarder() {
     return forwarder;
   }
--- a/core/src/main/java/org/magnoliaswitch/core/request/ServerChooser.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/ServerChooser.java
@@ -11,31 +11,31 @@
 import org.magnoliaswitch.core.version.RoutingPolicy;
 
 /**
- * Chooses a backend server among eligible ones; a decision without side effects but for the turn.
+ * Chooses one of the eligible backend servers; the only side effect is on the round-robin counter.
  *
- * <p>The product's policy compares a few random servers, which keeps instances with the same stale
- * news from sending to the same one (Mitzenmacher, "How useful is old information?", 2000). Each is
- * scored by the latency to expect: its usual latency, times the waves of requests ahead. The number
- * ahead is the last report, faded by age towards what the sampled servers have on average, plus
- * what this instance sent since (after Wydrowski et al., "Load is not what you should balance",
- * 2024).
+ * <p>The fresh-load policy compares a few random servers, which prevents instances with the same
+ * outdated reports from sending to the same server (Mitzenmacher, "How useful is old information?",
+ * 2000). A server is scored by its expected latency: its average latency, multiplied by the number
+ * of waves of requests ahead. The number of requests ahead is the last reported one, weighted by
+ * its age against the average of the sampled servers, plus the requests that this instance has sent
+ * since (after Wydrowski et al., "Load is not what you should balance", 2024).
  */
 public final class ServerChooser {
-  /** Latency assumed while a server has no samples. */
+  /** Latency assumed while no sampled server has latency samples. */
   private static final double UNKNOWN_LATENCY_MILLIS = 1.0;
 
   private static final double NANOS_PER_MILLI = 1e6;
 
-  /** Weight of requests that still find a free slot; orders servers that are all idle enough. */
+  /** Weight of requests that still find a free slot; ranks servers that all have free slots. */
   private static final double FREE_SLOT_WEIGHT = 0.25;
 
-  /** A server new to this instance takes load gradually over this time. */
+  /** Time over which the load of a server that is new to this instance increases gradually. */
   private static final long RAMP_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   private static final double RAMP_PENALTY = 3.0;
   private static final double MIN_SUCCESS = 0.05;
 
-  /** Below this all reports are too old to say anything. */
+  /** Sum of the report weights below which all reports are too old to be used. */
   private static final double MIN_WEIGHT = 1e-6;
 
   private ServerChooser() {}
@@ -43,16 +43,16 @@
   /**
    * Chooses one of the eligible servers.
    *
-   * @param eligible servers that may get new work
+   * @param eligible servers that may receive new requests
    * @param localDataCentre data centre of this instance
-   * @param turn counter of the round-robin policy
-   * @return nothing when none is eligible
+   * @param roundRobinCounter counter of the round-robin policy, which is incremented by it
+   * @return the server, or empty if none is eligible
    */
   public static Optional<ServerHandle> choose(
       RoutingPolicy policy,
       List<ServerHandle> eligible,
       String localDataCentre,
-      AtomicInteger turn,
+      AtomicInteger roundRobinCounter,
       long nowNanos,
       RandomGenerator random) {
     if (eligible.isEmpty()) {
@@ -61,7 +61,7 @@
     return Optional.of(
         switch (policy) {
           case RoutingPolicy.RoundRobin roundRobin ->
-              eligible.get(Math.floorMod(turn.getAndIncrement(), eligible.size()));
+              eligible.get(Math.floorMod(roundRobinCounter.getAndIncrement(), eligible.size()));
           case RoutingPolicy.LeastRequests leastRequests -> fewerRequestsOfTwo(eligible, random);
           case RoutingPolicy.FreshLoad fresh ->
               lowestScore(
@@ -96,18 +96,18 @@
     double meanRequests = 0;
     double weights = 0;
     double meanLatency = 0;
-    int known = 0;
+    int measured = 0;
     for (ServerHandle handle : sampled) {
       double weight = reportWeight(policy, handle.load(), nowNanos);
       meanRequests += weight * handle.load().lastReport().report().requests();
       weights += weight;
       if (handle.load().averages().samples() > 0) {
         meanLatency += handle.load().averages().latencyMillis();
-        known++;
+        measured++;
       }
     }
     meanRequests = weights < MIN_WEIGHT ? 0 : meanRequests / weights;
-    meanLatency = known == 0 ? UNKNOWN_LATENCY_MILLIS : meanLatency / known;
+    meanLatency = measured == 0 ? UNKNOWN_LATENCY_MILLIS : meanLatency / measured;
     ServerHandle best = sampled.getFirst();
     double bestScore = Double.MAX_VALUE;
     for (ServerHandle handle : sampled) {
@@ -139,17 +139,17 @@
     return (latency * (1 + waves) / success + remote) * rampFactor(load, nowNanos);
   }
 
-  /** Requests a server is expected to hold now. */
+  /** Number of requests that the server is expected to hold now. */
   static double expectedRequests(
       RoutingPolicy.FreshLoad policy, ServerLoad load, double meanRequests, long nowNanos) {
     ServerLoad.TimedReport last = load.lastReport();
-    double fade = reportWeight(policy, load, nowNanos);
-    double reported = meanRequests + (last.report().requests() - meanRequests) * fade;
-    int ownSince = load.inFlight() - last.ownInFlight();
-    return Math.max(load.inFlight(), reported + ownSince);
+    double weight = reportWeight(policy, load, nowNanos);
+    double reported = meanRequests + (last.report().requests() - meanRequests) * weight;
+    int sentSince = load.inFlight() - last.ownInFlight();
+    return Math.max(load.inFlight(), reported + sentSince);
   }
 
-  /** Weight of a server's last report by its age, 0 to 1. */
+  /** Weight of the server's last report by its age, from 0 to 1. */
   private static double reportWeight(
       RoutingPolicy.FreshLoad policy, ServerLoad load, long nowNanos) {
     double ageMillis = (nowNanos - load.lastReport().atNanos()) / NANOS_PER_MILLI;
--- a/core/src/main/java/org/magnoliaswitch/core/request/package-info.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What lives for one request: deadlines, outcomes, the choice of a backend server, admission and
+ * Handling of one request: deadlines, outcomes, selection of a backend server, admission and
  * retries.
  */
 @NullMarked
--- a/core/src/test/java/org/magnoliaswitch/core/request/AtMostOnceExecutorModelTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/request/AtMostOnceExecutorModelTest.java
@@ -36,24 +36,24 @@
 import org.testng.annotations.Test;
 
 /**
- * Model check of at-most-once execution: three instances, callers that retry, and every step
- * between them interleaved by a seed, while claims fail in every way and instances are killed or
- * stopped.
+ * Model check of at-most-once execution with three instances and callers that retry. A seed
+ * determines how their steps are interleaved, while claims fail in all possible ways and instances
+ * are killed or stopped.
  */
 public final class AtMostOnceExecutorModelTest {
   private static final int INTERLEAVINGS = 2_000;
   private static final int CALLERS = 4;
-  private static final int TRIES = 4;
+  private static final int ATTEMPTS = 4;
 
   /**
-   * What goes wrong in a case.
+   * The faults in a case.
    *
-   * @param tableFaults whether transactions are dropped, land late or lose their answers
-   * @param kills whether instances are killed in the middle of work
-   * @param stops whether an instance stops in order
-   * @param answersLost whether backend servers' answers are lost after execution
+   * @param claimFaults whether transactions are dropped, take effect late or lose their answers
+   * @param kills whether an instance is killed while it serves requests
+   * @param stops whether an instance stops gracefully
+   * @param answersLost whether answers of backend servers are lost after execution
    */
-  private record Faults(boolean tableFaults, boolean kills, boolean stops, boolean answersLost) {}
+  private record Faults(boolean claimFaults, boolean kills, boolean stops, boolean answersLost) {}
 
   @DataProvider
   public static Object[][] cases() {
@@ -70,39 +70,39 @@
   }
 
   @Test(dataProvider = "cases")
-  public void executesAtMostOnceAndTellsTheTruth(Object faults, boolean issuedKeys)
+  public void executesAtMostOnceAndReportsActualOutcome(Object faults, boolean issuedKeys)
       throws Exception {
     for (int seed = 1; seed <= INTERLEAVINGS / 8; seed++) {
-      World world = new World(seed, (Faults) faults, issuedKeys);
-      world.run();
-      world.check("faults " + faults + " issued " + issuedKeys + " seed " + seed);
+      Simulation simulation = new Simulation(seed, (Faults) faults, issuedKeys);
+      simulation.run();
+      simulation.check("faults " + faults + " issued " + issuedKeys + " seed " + seed);
     }
   }
 
-  /** The check itself must be able to fail: without claims the model finds double executions. */
+  /** Verifies that the check can fail: without claims the model finds double executions. */
   @Test
   public void findsDoubleExecutionsWhenClaimsAreIgnored() throws Exception {
-    int doubled = 0;
+    int detected = 0;
     for (int seed = 1; seed <= 50; seed++) {
-      World world = new World(seed, new Faults(false, false, false, true), false);
-      world.ignoreClaims = true;
-      world.run();
-      doubled += world.executions.values().stream().anyMatch(count -> count > 1) ? 1 : 0;
+      Simulation simulation = new Simulation(seed, new Faults(false, false, false, true), false);
+      simulation.ignoreClaims = true;
+      simulation.run();
+      detected += simulation.executions.values().stream().anyMatch(count -> count > 1) ? 1 : 0;
     }
-    assertTrue(doubled > 0, "no double execution in 50 interleavings");
+    assertTrue(detected > 0, "no double execution in 50 interleavings");
   }
 
-  private static final class Node {
+  private static final class Instance {
     private final Member member;
     private final OutcomeLedger ledger;
     private final KeyIssuer issuer;
     private final OutcomeRecords records;
-    private final AtMostOnceExecutor gate;
+    private final AtMostOnceExecutor executor;
     private boolean alive = true;
     private boolean accepting = true;
-    private int atWork;
+    private int activeRequests;
 
-    Node(World world, int number) {
+    Instance(Simulation simulation, int number) {
       this.member =
           new Member(
               "inc" + number,
@@ -114,10 +114,12 @@
               3 + number,
               1,
               MemberState.SERVING);
-      this.ledger = new OutcomeLedger(world.time.clocks());
-      this.issuer = new KeyIssuer(member.incarnation(), world.secret, world.time.clocks());
-      this.records = new OutcomeRecords(world.platform, member.incarnation(), world.time.clocks());
-      Membership membership = new Membership(member, world.time.clocks());
+      this.ledger = new OutcomeLedger(simulation.clock.clocks());
+      this.issuer =
+          new KeyIssuer(member.incarnation(), simulation.secret, simulation.clock.clocks());
+      this.records =
+          new OutcomeRecords(simulation.platform, member.incarnation(), simulation.clock.clocks());
+      Membership membership = new Membership(member, simulation.clock.clocks());
       for (int other = 0; other < 3; other++) {
         membership.merge(
             new Member(
@@ -131,39 +133,47 @@
                 1,
                 MemberState.SERVING));
       }
-      AtMostOnceExecutor.Dependencies parts =
+      AtMostOnceExecutor.Dependencies dependencies =
           new AtMostOnceExecutor.Dependencies(
-              issuer, ledger, world.claims(), records, membership, world::forward, world::await);
-      Timeline timeline = new Timeline("t", new HybridClock(world.time), 10);
-      this.gate =
-          new AtMostOnceExecutor(parts, world::execute, true, world.time.clocks(), timeline);
+              issuer,
+              ledger,
+              simulation.claims(),
+              records,
+              membership,
+              simulation::forward,
+              simulation::await);
+      Timeline timeline = new Timeline("t", new HybridClock(simulation.clock), 10);
+      this.executor =
+          new AtMostOnceExecutor(
+              dependencies, simulation::execute, true, simulation.clock.clocks(), timeline);
     }
   }
 
-  private static final class World {
-    private final ManualClock time = new ManualClock();
+  private static final class Simulation {
+    private final ManualClock clock = new ManualClock();
     private final FakePlatform platform = new FakePlatform();
     private final PeerSecret secret =
         new PeerSecret("0123456789abcdef".getBytes(StandardCharsets.US_ASCII));
     private final StepScheduler scheduler;
     private final Faults faults;
     private final boolean issuedKeys;
-    private final List<Node> nodes = new ArrayList<>();
+    private final List<Instance> instances = new ArrayList<>();
     private final ServiceState service;
     private final Map<String, Integer> executions = new HashMap<>();
     private final Map<String, Integer> executedAttempts = new HashMap<>();
-    private final List<Told> told = new ArrayList<>();
+    private final List<ReportedOutcome> reported = new ArrayList<>();
     private boolean ignoreClaims;
 
-    World(long seed, Faults faults, boolean issuedKeys) throws Exception {
+    Simulation(long seed, Faults faults, boolean issuedKeys) throws Exception {
       this.scheduler = new StepScheduler(seed);
       this.faults = faults;
       this.issuedKeys = issuedKeys;
       for (int i = 0; i < 3; i++) {
-        nodes.add(new Node(this, i));
+        instances.add(new Instance(this, i));
       }
       ServiceRegistry registry =
-          new ServiceRegistry(new Membership(nodes.get(0).member, time.clocks()), time.clocks());
+          new ServiceRegistry(
+              new Membership(instances.get(0).member, clock.clocks()), clock.clocks());
       registry.apply(
           SnapshotParser.parse(
               1, "d", Declarations.parts(Declarations.profile(), Declarations.service(1))));
@@ -173,35 +183,35 @@
     void run() {
       for (int caller = 0; caller < CALLERS; caller++) {
         String operation = "op" + caller;
-        Node issuer = nodes.get(caller % nodes.size());
-        String key = issuedKeys ? keyOf(issuer, operation) : "own-" + operation;
+        Instance issuer = instances.get(caller % instances.size());
+        String key = issuedKeys ? issueKey(issuer, operation) : "own-" + operation;
         scheduler.add("caller", () -> call(operation, key));
       }
       if (faults.kills()) {
-        scheduler.add("killer", () -> endOne(false));
+        scheduler.add("killer", () -> stopRandomInstance(false));
       }
       if (faults.stops()) {
-        scheduler.add("stopper", () -> endOne(true));
+        scheduler.add("stopper", () -> stopRandomInstance(true));
       }
-      scheduler.add("late", this::landLate);
+      scheduler.add("late", this::applyLateWrites);
       scheduler.runAll();
     }
 
     private final Map<String, String> keys = new HashMap<>();
 
-    private String keyOf(Node issuer, String operation) {
+    private String issueKey(Instance issuer, String operation) {
       return keys.computeIfAbsent(operation, o -> issuer.issuer.issue());
     }
 
-    /** One caller behind a balancer that gives up on some requests and sends them elsewhere. */
+    /** Runs one caller behind a load balancer that sends abandoned requests to another instance. */
     private void call(String operation, String key) {
-      for (int attempt = 1; attempt <= TRIES; attempt++) {
-        Reply reply = copy(operation, key, attempt, scheduler.random().nextInt(30));
+      for (int attempt = 1; attempt <= ATTEMPTS; attempt++) {
+        Reply reply = sendCopy(operation, key, attempt, scheduler.random().nextInt(30));
         if (reply == null) {
-          reply = copy(operation, key, attempt, Integer.MAX_VALUE);
+          reply = sendCopy(operation, key, attempt, Integer.MAX_VALUE);
         }
         if (reply != null) {
-          told.add(new Told(operation, attempt, reply.outcome()));
+          reported.add(new ReportedOutcome(operation, attempt, reply.outcome()));
           if (reply.outcome() == Outcome.EXECUTED) {
             return;
           }
@@ -209,30 +219,32 @@
       }
     }
 
-    /** Sends one copy of a request; null when it gave none or the balancer gave it up. */
-    private Reply copy(String operation, String key, int attempt, int patience) {
-      Node node = nodes.get(scheduler.random().nextInt(nodes.size()));
+    /** Sends one copy of a request; null if there was no reply or the balancer abandoned it. */
+    private Reply sendCopy(String operation, String key, int attempt, int maxSteps) {
+      Instance instance = instances.get(scheduler.random().nextInt(instances.size()));
       scheduler.step();
-      return node.alive && node.accepting
-          ? serve(node, request(operation, key, attempt), patience)
+      return instance.alive && instance.accepting
+          ? serve(instance, request(operation, key, attempt), maxSteps)
           : null;
     }
 
-    /** Serves in a task of the node, so that killing the node kills it; null when it was killed. */
-    private Reply serve(Node node, InboundRequest request, int patience) {
+    /**
+     * Serves in a task that is killed with the instance; null if it was killed or ran out of steps.
+     */
+    private Reply serve(Instance instance, InboundRequest request, int maxSteps) {
       CompletableFuture<Reply> answer = new CompletableFuture<>();
-      node.atWork++;
+      instance.activeRequests++;
       scheduler.add(
-          node.member.incarnation(),
+          instance.member.incarnation(),
           () -> {
             try {
-              answer.complete(node.gate.serve(request));
+              answer.complete(instance.executor.serve(request));
             } finally {
-              node.atWork--;
+              instance.activeRequests--;
               answer.completeExceptionally(new StepScheduler.KilledException());
             }
           });
-      for (int i = 0; i < patience && !answer.isDone() && node.alive; i++) {
+      for (int i = 0; i < maxSteps && !answer.isDone() && instance.alive; i++) {
         scheduler.step();
       }
       return answer.isDone() && !answer.isCompletedExceptionally() ? answer.join() : null;
@@ -260,7 +272,7 @@
           if (ignoreClaims) {
             return new ClaimResult(ClaimResult.Status.GRANTED, claim.incarnation(), "", 0);
           }
-          if (faults.tableFaults()) {
+          if (faults.claimFaults()) {
             platform.nextRandom(scheduler.random());
           }
           ClaimBatcher batcher = new ClaimBatcher(platform);
@@ -279,12 +291,12 @@
 
     private AttemptResult forward(InboundRequest request, Member holder) {
       scheduler.step();
-      Node node = nodes.get(holder.peerPort() - 3);
-      if (!node.alive || !node.accepting) {
+      Instance instance = instances.get(holder.peerPort() - 3);
+      if (!instance.alive || !instance.accepting) {
         return new AttemptResult.NotSent("gone");
       }
       List<Field> fields = List.of(new Field(HolderForwarder.HOP_HEADER, "1"));
-      Reply reply = serve(node, withFields(request, fields), Integer.MAX_VALUE);
+      Reply reply = serve(instance, withFields(request, fields), Integer.MAX_VALUE);
       return reply == null ? new AttemptResult.Broken("killed") : new AttemptResult.Answered(reply);
     }
 
@@ -295,36 +307,36 @@
       return run.getNow(new KeyOutcome.Running());
     }
 
-    private void endOne(boolean inOrder) {
+    private void stopRandomInstance(boolean graceful) {
       for (int i = 0; i < scheduler.random().nextInt(12); i++) {
         scheduler.step();
       }
-      Node node = nodes.get(scheduler.random().nextInt(nodes.size()));
-      if (!inOrder) {
-        node.alive = false;
-        scheduler.kill(node.member.incarnation());
+      Instance instance = instances.get(scheduler.random().nextInt(instances.size()));
+      if (!graceful) {
+        instance.alive = false;
+        scheduler.kill(instance.member.incarnation());
         return;
       }
-      node.accepting = false;
-      for (int i = 0; i < 400 && node.atWork > 0; i++) {
+      instance.accepting = false;
+      for (int i = 0; i < 400 && instance.activeRequests > 0; i++) {
         scheduler.step();
       }
-      if (node.atWork == 0 && node.alive) {
-        node.alive = false;
-        close(node);
+      if (instance.activeRequests == 0 && instance.alive) {
+        instance.alive = false;
+        close(instance);
       }
     }
 
-    private void close(Node node) {
+    private void close(Instance instance) {
       try {
-        node.records.close(node.ledger);
+        instance.records.close(instance.ledger);
       } catch (PlatformException e) {
         throw new IllegalStateException(e);
       }
-      time.advance(Duration.ofSeconds(3));
+      clock.advance(Duration.ofSeconds(3));
     }
 
-    private void landLate() {
+    private void applyLateWrites() {
       for (int i = 0; i < 6; i++) {
         scheduler.step();
         platform.landLateWrites();
@@ -361,20 +373,22 @@
           request.caller());
     }
 
-    void check(String where) {
-      executions.forEach((operation, count) -> assertEquals(count.intValue(), 1, where));
-      for (Told one : told) {
-        Integer executed = executedAttempts.get(one.operation());
-        if (one.outcome() == Outcome.EXECUTED) {
-          assertTrue(executed != null, where + ": told executed, but did not run");
+    void check(String context) {
+      executions.forEach((operation, count) -> assertEquals(count.intValue(), 1, context));
+      for (ReportedOutcome outcome : reported) {
+        Integer executed = executedAttempts.get(outcome.operation());
+        if (outcome.outcome() == Outcome.EXECUTED) {
+          assertTrue(executed != null, context + ": reported as executed, but was not executed");
         }
-        if (one.outcome() == Outcome.NOT_EXECUTED && executed != null) {
-          assertTrue(executed > one.attempt(), where + ": told not executed, but ran");
+        if (outcome.outcome() == Outcome.NOT_EXECUTED && executed != null) {
+          assertTrue(
+              executed > outcome.attempt(),
+              context + ": reported as not executed, but was executed");
         }
       }
     }
   }
 
-  /** What a caller was told of one of its attempts. */
-  private record Told(String operation, int attempt, Outcome outcome) {}
+  /** The outcome that was reported to a caller for one of its attempts. */
+  private record ReportedOutcome(String operation, int attempt, Outcome outcome) {}
 }
--- a/core/src/test/java/org/magnoliaswitch/core/request/DispatcherTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/request/DispatcherTest.java
@@ -34,76 +34,86 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What callers are told when backend servers misbehave, over real sockets. */
+/** Tests the replies to callers when backend servers fail, over real sockets. */
 public final class DispatcherTest {
-  private static final String WHOLE = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole";
+  private static final String COMPLETE = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole";
   private static final String CHUNKED =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n";
   private static final String REFUSED = "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n";
-  private static final Answer CUT =
+  private static final Answer TRUNCATED =
       new Answer.SendAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nwhole");
-  private static final Answer CUT_CHUNKS =
+  private static final Answer TRUNCATED_CHUNKS =
       new Answer.SendAndClose(
           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n");
-  private static final Answer UNTIL_CLOSE = new Answer.SendAndClose("HTTP/1.1 200 OK\r\n\r\nwhole");
+  private static final Answer NO_LENGTH = new Answer.SendAndClose("HTTP/1.1 200 OK\r\n\r\nwhole");
   private static final Answer CLOSED = new Answer.SendAndClose("");
   private static final Answer GARBAGE = new Answer.SendAndClose("\0\0 nonsense\r\n\r\n");
 
-  /** Servers that end under a request. */
-  public static final class ServersThatEnd {
-    private static final int TRIES = 8;
+  /** Servers that crash while serving a request. */
+  public static final class CrashingServers {
+    private static final int ATTEMPTS = 8;
 
-    /** Two before anything is known, one at risk, and three more as the users allow. */
-    private static final int MOST_ENDS = 6;
+    /**
+     * Two crashes before the request is known as a suspect, one during its trial, and three more as
+     * a tolerance.
+     */
+    private static final int MAX_CRASHES = 6;
 
     /**
-     * A read ends every server that begins to run it, and its caller comes back at once. After the
-     * first servers it is turned away, and told so only where nothing was sent.
+     * An idempotent request crashes every server that starts to execute it, and its caller retries
+     * at once. After the first crashes the request is rejected, and reported as not executed only
+     * if nothing was sent.
      */
     @Test
-    public void aReadIsTurnedAwayAfterTheFirst() throws Exception {
-      assertTurnedAway(Declarations.READ);
+    public void idempotentRequestIsRejectedAfterFirstCrashes() throws Exception {
+      assertRejectedAfterFirstCrashes(Declarations.READ);
     }
 
-    /** The same of a booking, of which each try ends one server. */
+    /**
+     * A non-idempotent request crashes one server with each attempt of its caller. After the first
+     * crashes the request is rejected, and reported as not executed only if nothing was sent.
+     */
     @Test
-    public void aBookingIsTurnedAwayAfterTheFirst() throws Exception {
-      assertTurnedAway(Declarations.BOOK);
+    public void nonIdempotentRequestIsRejectedAfterFirstCrashes() throws Exception {
+      assertRejectedAfterFirstCrashes(Declarations.BOOK);
     }
 
-    private static void assertTurnedAway(RequestKind kind) throws Exception {
-      try (Bench bench = new Bench(TRIES + 2, n -> new Answer.End())) {
-        Outcome last = Outcome.UNKNOWN;
-        for (int i = 0; i < TRIES; i++) {
-          int before = bench.requests();
-          last = bench.send(kind, 5_000).outcome();
-          boolean sent = bench.requests() > before;
-          assertEquals(last, sent ? Outcome.UNKNOWN : Outcome.NOT_EXECUTED);
+    private static void assertRejectedAfterFirstCrashes(RequestKind kind) throws Exception {
+      try (TestSystem system = new TestSystem(ATTEMPTS + 2, n -> new Answer.End())) {
+        Outcome outcome = Outcome.UNKNOWN;
+        for (int i = 0; i < ATTEMPTS; i++) {
+          int before = system.requests();
+          outcome = system.send(kind, 5_000).outcome();
+          boolean sent = system.requests() > before;
+          assertEquals(outcome, sent ? Outcome.UNKNOWN : Outcome.NOT_EXECUTED);
         }
-        assertEquals(last, Outcome.NOT_EXECUTED);
-        assertTrue(bench.requests() <= MOST_ENDS, bench.requests() + " servers ended");
+        assertEquals(outcome, Outcome.NOT_EXECUTED);
+        assertTrue(system.requests() <= MAX_CRASHES, system.requests() + " servers crashed");
       }
     }
   }
 
-  /** One server that answers every request alike; a fault of the first try has no other server. */
+  /**
+   * A single server that gives the same answer to every request, so that no retry on another server
+   * is possible.
+   */
   public static final class OneServer {
     @DataProvider
     public static Object[][] faults() {
       RequestKind read = Declarations.READ;
       RequestKind book = Declarations.BOOK;
       return new Object[][] {
-        {read, new Answer.Send(WHOLE), 200, Outcome.EXECUTED, 1},
+        {read, new Answer.Send(COMPLETE), 200, Outcome.EXECUTED, 1},
         {read, new Answer.Send(CHUNKED), 200, Outcome.EXECUTED, 1},
-        {read, CUT, 502, Outcome.UNKNOWN, 1},
-        {read, CUT_CHUNKS, 502, Outcome.UNKNOWN, 1},
-        {read, UNTIL_CLOSE, 502, Outcome.UNKNOWN, 1},
+        {read, TRUNCATED, 502, Outcome.UNKNOWN, 1},
+        {read, TRUNCATED_CHUNKS, 502, Outcome.UNKNOWN, 1},
+        {read, NO_LENGTH, 502, Outcome.UNKNOWN, 1},
         {read, CLOSED, 502, Outcome.UNKNOWN, 1},
         {read, GARBAGE, 502, Outcome.UNKNOWN, 1},
         {read, new Answer.Send(REFUSED), 503, Outcome.NOT_EXECUTED, 1},
         {read, new Answer.Silence(), 504, Outcome.UNKNOWN, 1},
-        {book, new Answer.Send(WHOLE), 200, Outcome.EXECUTED, 1},
-        {book, CUT, 502, Outcome.UNKNOWN, 1},
+        {book, new Answer.Send(COMPLETE), 200, Outcome.EXECUTED, 1},
+        {book, TRUNCATED, 502, Outcome.UNKNOWN, 1},
         {book, CLOSED, 502, Outcome.UNKNOWN, 1},
         {book, new Answer.Send(REFUSED), 503, Outcome.NOT_EXECUTED, 1},
         {book, new Answer.Silence(), 504, Outcome.UNKNOWN, 1},
@@ -111,185 +121,192 @@
     }
 
     @Test(dataProvider = "faults")
-    public void tellsTheTruth(
+    public void reportsActualOutcome(
         RequestKind kind, Answer answer, int status, Outcome outcome, int requests)
         throws Exception {
-      try (Bench bench = new Bench(1, n -> answer)) {
-        Reply reply = bench.send(kind, 150);
+      try (TestSystem system = new TestSystem(1, n -> answer)) {
+        Reply reply = system.send(kind, 150);
         assertEquals(reply.status(), status);
         assertEquals(reply.outcome(), outcome);
-        assertEquals(bench.requests(), requests);
+        assertEquals(system.requests(), requests);
       }
     }
 
-    /** Guards against requests that go on reaching a server that asked for a pause. */
+    /** Guards against sending requests to a server that asked for a pause by Retry-After. */
     @Test
-    public void aServerThatAsksForAPauseGetsNothingMeanwhile() throws Exception {
-      Answer shed =
+    public void serverThatSentRetryAfterReceivesNoRequests() throws Exception {
+      Answer refusal =
           new Answer.Send("HTTP/1.1 503 Full\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n");
-      try (Bench bench = new Bench(1, n -> shed)) {
+      try (TestSystem system = new TestSystem(1, n -> refusal)) {
         for (int i = 0; i < 5; i++) {
-          assertEquals(bench.send(Declarations.READ, 500).outcome(), Outcome.NOT_EXECUTED);
+          assertEquals(system.send(Declarations.READ, 500).outcome(), Outcome.NOT_EXECUTED);
         }
-        assertEquals(bench.requests(), 1);
+        assertEquals(system.requests(), 1);
       }
     }
 
-    /** The port is bound but nobody listens, so that no other process can take it meanwhile. */
+    /**
+     * The port is bound without a listener, so that no other process can use it during the test.
+     */
     @Test
-    public void nothingListeningIsNotExecuted() throws Exception {
+    public void requestWithoutListeningServerIsNotExecuted() throws Exception {
       try (Socket reserved = new Socket()) {
         reserved.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        Bench bench = new Bench(reserved.getLocalPort());
-        assertEquals(bench.send(Declarations.BOOK, 500).outcome(), Outcome.NOT_EXECUTED);
+        TestSystem system = new TestSystem(reserved.getLocalPort());
+        assertEquals(system.send(Declarations.BOOK, 500).outcome(), Outcome.NOT_EXECUTED);
       }
     }
   }
 
-  /** Three servers that share the answers by order of arrival. */
+  /** Three servers whose answers depend on the order in which requests arrive. */
   public static final class SeveralServers {
     @DataProvider
     public static Object[][] faults() {
       return new Object[][] {
-        {Declarations.READ, CUT, 200, 2},
+        {Declarations.READ, TRUNCATED, 200, 2},
         {Declarations.READ, CLOSED, 200, 2},
         {Declarations.READ, new Answer.Send(REFUSED), 200, 2},
         {Declarations.BOOK, new Answer.Send(REFUSED), 200, 2},
-        {Declarations.BOOK, CUT, 502, 1},
+        {Declarations.BOOK, TRUNCATED, 502, 1},
         {Declarations.BOOK, CLOSED, 502, 1},
       };
     }
 
     @Test(dataProvider = "faults")
-    public void triesAgainOnlyWhatMayRunTwice(
+    public void retriesOnlyWhatMayBeExecutedTwice(
         RequestKind kind, Answer first, int status, int requests) throws Exception {
-      try (Bench bench = new Bench(3, n -> n == 0 ? first : new Answer.Send(WHOLE))) {
-        assertEquals(bench.send(kind, 500).status(), status);
-        assertEquals(bench.requests(), requests);
+      try (TestSystem system = new TestSystem(3, n -> n == 0 ? first : new Answer.Send(COMPLETE))) {
+        assertEquals(system.send(kind, 500).status(), status);
+        assertEquals(system.requests(), requests);
       }
     }
 
     /**
-     * The first attempt broke after its bytes had left, and the second could not be sent. Telling
-     * the outcome of the last attempt alone would be a false "not executed".
+     * The first attempt broke after the request had been sent, and the second was refused.
+     * Reporting the outcome of the last attempt alone would be a false "not executed".
      */
     @Test
-    public void aBrokenAttemptBeforeARefusalStaysUnknown() throws Exception {
-      try (Bench bench = new Bench(3, n -> n == 0 ? CUT : new Answer.Send(REFUSED))) {
-        assertEquals(bench.send(Declarations.READ, 500).outcome(), Outcome.UNKNOWN);
+    public void outcomeStaysUnknownWhenRefusalFollowsBrokenAttempt() throws Exception {
+      try (TestSystem system =
+          new TestSystem(3, n -> n == 0 ? TRUNCATED : new Answer.Send(REFUSED))) {
+        assertEquals(system.send(Declarations.READ, 500).outcome(), Outcome.UNKNOWN);
       }
     }
 
-    /** A retry of an outer layer is not multiplied here: calls go up to seven layers deep. */
+    /** Calls pass up to seven layers, so that retries at each layer would multiply. */
     @Test
-    public void doesNotRetryWhatAnOuterLayerRetries() throws Exception {
-      try (Bench bench = new Bench(3, n -> new Answer.Send(REFUSED))) {
-        bench.send(Declarations.READ, 500, 2);
-        assertEquals(bench.requests(), 1);
+    public void requestRetriedByOuterLayerIsNotRetried() throws Exception {
+      try (TestSystem system = new TestSystem(3, n -> new Answer.Send(REFUSED))) {
+        system.send(Declarations.READ, 500, 2);
+        assertEquals(system.requests(), 1);
       }
     }
 
-    /** A silent server is overtaken by a second attempt elsewhere, long before the deadline. */
+    /**
+     * A second attempt on another server is answered long before the deadline of a request to a
+     * silent server.
+     */
     @Test
-    public void aHedgeOvertakesASilentServer() throws Exception {
+    public void hedgeAnswersBeforeSilentServer() throws Exception {
       RetryPolicy hedging = new RetryPolicy(0.1, 2, true, 0.95);
-      try (Bench bench =
-          new Bench(3, n -> n == 0 ? new Answer.Silence() : new Answer.Send(WHOLE), hedging)) {
-        assertEquals(bench.send(Declarations.READ, 2_000).status(), 200);
-        assertEquals(bench.requests(), 2);
+      try (TestSystem system =
+          new TestSystem(
+              3, n -> n == 0 ? new Answer.Silence() : new Answer.Send(COMPLETE), hedging)) {
+        assertEquals(system.send(Declarations.READ, 2_000).status(), 200);
+        assertEquals(system.requests(), 2);
       }
     }
 
-    /** With every server refusing, attempts beyond the first stay within the budget's reserve. */
+    /** If every server refuses, further attempts stay within the reserve of the retry budget. */
     @Test
-    public void retriesEndWithTheBudget() throws Exception {
-      try (Bench bench = new Bench(3, n -> new Answer.Send(REFUSED))) {
+    public void retriesStayWithinBudget() throws Exception {
+      try (TestSystem system = new TestSystem(3, n -> new Answer.Send(REFUSED))) {
         for (int i = 0; i < 60; i++) {
-          bench.send(Declarations.READ, 500);
+          system.send(Declarations.READ, 500);
         }
-        assertTrue(bench.requests() <= 60 + 5 + 6, "requests " + bench.requests());
+        assertTrue(system.requests() <= 60 + 5 + 6, "requests " + system.requests());
       }
     }
   }
 
-  /** Connections and what happens to them. */
+  /** Reuse of connections and streamed answers. */
   public static final class Connections {
     @Test
-    public void aWholeAnswerKeepsItsConnection() throws Exception {
-      try (Bench bench = new Bench(1, n -> new Answer.Send(WHOLE))) {
-        bench.send(Declarations.READ, 500);
-        bench.send(Declarations.READ, 500);
-        assertEquals(bench.connections(), 1);
+    public void connectionIsReusedAfterCompleteAnswer() throws Exception {
+      try (TestSystem system = new TestSystem(1, n -> new Answer.Send(COMPLETE))) {
+        system.send(Declarations.READ, 500);
+        system.send(Declarations.READ, 500);
+        assertEquals(system.connections(), 1);
       }
     }
 
     /**
-     * The first request times out; its answer may still come on the same connection. If that were
-     * reused, the next caller would get the first one's answer.
+     * The first request times out, but its answer may still arrive on the connection. If the
+     * connection were reused, the next caller would receive that answer.
      */
     @Test
-    public void aTimedOutExchangeBurnsItsConnection() throws Exception {
-      try (Bench bench =
-          new Bench(1, n -> n == 0 ? new Answer.Silence() : new Answer.Send(WHOLE))) {
-        bench.send(Declarations.READ, 50);
-        assertEquals(bench.send(Declarations.READ, 500).status(), 200);
-        assertEquals(bench.connections(), 2);
+    public void connectionIsNotReusedAfterTimeout() throws Exception {
+      try (TestSystem system =
+          new TestSystem(1, n -> n == 0 ? new Answer.Silence() : new Answer.Send(COMPLETE))) {
+        system.send(Declarations.READ, 50);
+        assertEquals(system.send(Declarations.READ, 500).status(), 200);
+        assertEquals(system.connections(), 2);
       }
     }
 
     @Test
-    public void aLargeAnswerIsPassedOnAsAStream() throws Exception {
+    public void largeAnswerIsStreamed() throws Exception {
       String body = "x".repeat(200_000);
       Answer large = new Answer.Send("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + body);
-      try (Bench bench = new Bench(1, n -> large)) {
+      try (TestSystem system = new TestSystem(1, n -> large)) {
         Reply.Body.Streaming stream =
-            (Reply.Body.Streaming) bench.send(Declarations.READ, 500).body();
+            (Reply.Body.Streaming) system.send(Declarations.READ, 500).body();
         try (InputStream in = stream.stream()) {
           assertEquals(new String(in.readAllBytes(), StandardCharsets.ISO_8859_1), body);
         }
         stream.completion().completed(true);
-        assertEquals(bench.inFlight(), 0);
+        assertEquals(system.inFlight(), 0);
       }
     }
 
     @Test
-    public void aLargeAnswerCutShortFailsWhileItIsRead() throws Exception {
-      Answer cut =
+    public void truncatedLargeAnswerFailsWhileItIsRead() throws Exception {
+      Answer truncated =
           new Answer.SendAndClose(
               "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + "x".repeat(200_000));
-      try (Bench bench = new Bench(1, n -> cut)) {
+      try (TestSystem system = new TestSystem(1, n -> truncated)) {
         Reply.Body.Streaming stream =
-            (Reply.Body.Streaming) bench.send(Declarations.READ, 500).body();
+            (Reply.Body.Streaming) system.send(Declarations.READ, 500).body();
         org.testng.Assert.assertThrows(IOException.class, () -> stream.stream().readAllBytes());
         stream.completion().completed(false);
       }
     }
   }
 
-  /** A dispatcher in front of raw servers that share one sequence of answers. */
-  private static final class Bench implements AutoCloseable {
+  /** A dispatcher with raw servers that share one sequence of answers. */
+  private static final class TestSystem implements AutoCloseable {
     private final List<RawServer> servers = new ArrayList<>();
     private final Clocks clocks = Clocks.system();
     private final ServiceState service;
     private final Dispatcher dispatcher;
-    private final java.util.concurrent.atomic.AtomicInteger order =
+    private final java.util.concurrent.atomic.AtomicInteger nextAnswer =
         new java.util.concurrent.atomic.AtomicInteger();
 
-    Bench(int count, IntFunction<Answer> answers) throws Exception {
+    TestSystem(int count, IntFunction<Answer> answers) throws Exception {
       this(count, answers, Declarations.profile().retry());
     }
 
-    Bench(int count, IntFunction<Answer> answers, RetryPolicy retry) throws Exception {
+    TestSystem(int count, IntFunction<Answer> answers, RetryPolicy retry) throws Exception {
       for (int i = 0; i < count; i++) {
-        servers.add(new RawServer(n -> answers.apply(order.getAndIncrement())));
+        servers.add(new RawServer(n -> answers.apply(nextAnswer.getAndIncrement())));
       }
       int[] ports = servers.stream().mapToInt(RawServer::port).toArray();
       this.service = service(ports, retry);
       this.dispatcher = dispatcher();
     }
 
-    /** In front of one port where no server is. */
-    Bench(int port) throws Exception {
+    /** Creates a dispatcher with one port on which no server listens. */
+    TestSystem(int port) throws Exception {
       this.service = service(new int[] {port}, Declarations.profile().retry());
       this.dispatcher = dispatcher();
     }
--- a/core/src/test/java/org/magnoliaswitch/core/request/ServerChooserTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/request/ServerChooserTest.java
@@ -23,27 +23,27 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Choice of a backend server. */
+/** Tests the choice of a backend server under each routing policy. */
 public final class ServerChooserTest {
   private static final int CHOICES = 2_000;
 
-  private ManualClock time = new ManualClock();
+  private ManualClock clock = new ManualClock();
   private SplittableRandom random = new SplittableRandom(3);
 
   @BeforeMethod
-  public void fresh() {
-    time = new ManualClock();
+  public void setUp() {
+    clock = new ManualClock();
     random = new SplittableRandom(3);
   }
 
   @Test
-  public void roundRobinTakesEachInTurn() {
+  public void roundRobinChoosesEachServerEquallyOften() {
     Map<String, Integer> counts = choices(new RoutingPolicy.RoundRobin(), servers(4));
     assertEquals(counts.get("s0"), Integer.valueOf(CHOICES / 4));
   }
 
   @Test
-  public void leastRequestsAvoidsTheBusyOne() {
+  public void leastRequestsAvoidsBusyServer() {
     List<ServerHandle> servers = servers(2);
     servers.get(0).load().sent();
     Map<String, Integer> counts = choices(new RoutingPolicy.LeastRequests(), servers);
@@ -52,51 +52,53 @@
 
   @Test
   public void aFullServerIsAvoided() {
-    List<ServerHandle> servers = settled(4);
-    servers.get(1).load().reported(new LoadReport(12, 6, false), time.read());
+    List<ServerHandle> servers = warmedUpServers(4);
+    servers.get(1).load().reported(new LoadReport(12, 6, false), clock.read());
     assertEquals(choices(Declarations.FRESH, servers).getOrDefault("s1", 0), Integer.valueOf(0));
   }
 
   /**
-   * A report that a server is idle is half a second old. Sent to by its face value, the server
-   * would get every request of every instance; faded to the average it is one among others.
+   * A report that a server is idle is half a second old. Used at full weight, it would make every
+   * instance send every request to that server; weighted by its age, the server counts like an
+   * average one.
    */
   @Test
-  public void aStaleReportLosesItsWeight() {
-    List<ServerHandle> servers = settled(5);
-    servers.get(0).load().reported(new LoadReport(0, 6, false), time.read());
-    time.advance(Duration.ofMillis(500));
+  public void aStaleReportLosesWeight() {
+    List<ServerHandle> servers = warmedUpServers(5);
+    servers.get(0).load().reported(new LoadReport(0, 6, false), clock.read());
+    clock.advance(Duration.ofMillis(500));
     for (ServerHandle other : servers.subList(1, 5)) {
-      other.load().reported(new LoadReport(5, 6, false), time.read());
+      other.load().reported(new LoadReport(5, 6, false), clock.read());
     }
     double expected =
-        ServerChooser.expectedRequests(Declarations.FRESH, servers.get(0).load(), 5.0, time.read());
+        ServerChooser.expectedRequests(
+            Declarations.FRESH, servers.get(0).load(), 5.0, clock.read());
     assertTrue(expected > 4.9, "expected " + expected);
   }
 
   @Test
-  public void ownSendsSinceTheReportCount() {
-    ServerLoad load = settled(1).get(0).load();
-    load.reported(new LoadReport(2, 6, false), time.read());
+  public void ownRequestsSinceTheReportAreCounted() {
+    ServerLoad load = warmedUpServers(1).get(0).load();
+    load.reported(new LoadReport(2, 6, false), clock.read());
     load.sent();
     load.sent();
     assertEquals(
-        ServerChooser.expectedRequests(Declarations.FRESH, load, 2.0, time.read()), 4.0, 0.01);
+        ServerChooser.expectedRequests(Declarations.FRESH, load, 2.0, clock.read()), 4.0, 0.01);
   }
 
   @Test
-  public void aStragglerIsAvoidedThoughItReportsIdle() {
-    List<ServerHandle> servers = settled(4);
+  public void aStragglerThatReportsIdleIsAvoided() {
+    List<ServerHandle> servers = warmedUpServers(4);
     for (int i = 0; i < 30; i++) {
       servers.get(2).load().sent();
-      servers.get(2).load().answered(Duration.ofMillis(200).toNanos(), time.read());
+      servers.get(2).load().answered(Duration.ofMillis(200).toNanos(), clock.read());
     }
     assertEquals(choices(Declarations.FRESH, servers).getOrDefault("s2", 0), Integer.valueOf(0));
   }
 
   @Test
-  public void aServerThatOftenFailsIsNotTakenForIdle() {
-    List<ServerHandle> servers = settled(3);
+  public void aServerThatOftenFailsIsAvoided() {
+    List<ServerHandle> servers = warmedUpServers(3);
     for (int i = 0; i < 10; i++) {
       servers.get(0).load().sent();
       servers.get(0).load().failed();
@@ -105,41 +107,42 @@
   }
 
   @Test
-  public void nearServersComeFirstUntilTheyAreWorse() {
-    List<ServerHandle> servers = new ArrayList<>(settled(2));
-    servers.add(settle(handle("far", "dc-2")));
+  public void nearServersArePreferredUnlessTheyAreWorse() {
+    List<ServerHandle> servers = new ArrayList<>(warmedUpServers(2));
+    servers.add(warmUp(handle("far", "dc-2")));
     assertEquals(choices(Declarations.FRESH, servers).getOrDefault("far", 0), Integer.valueOf(0));
     for (ServerHandle near : servers.subList(0, 2)) {
-      near.load().reported(new LoadReport(18, 6, false), time.read());
+      near.load().reported(new LoadReport(18, 6, false), clock.read());
     }
     assertEquals(choices(Declarations.FRESH, servers).get("far"), Integer.valueOf(CHOICES));
   }
 
   private Map<String, Integer> choices(RoutingPolicy policy, List<ServerHandle> servers) {
     Map<String, Integer> counts = new HashMap<>();
-    AtomicInteger turn = new AtomicInteger();
+    AtomicInteger roundRobinCounter = new AtomicInteger();
     for (int i = 0; i < CHOICES; i++) {
       ServerHandle chosen =
-          ServerChooser.choose(policy, servers, "dc-1", turn, time.read(), random).orElseThrow();
+          ServerChooser.choose(policy, servers, "dc-1", roundRobinCounter, clock.read(), random)
+              .orElseThrow();
       counts.merge(chosen.id(), 1, Integer::sum);
     }
     return counts;
   }
 
-  /** Servers past their ramp, all with the same usual latency. */
-  private List<ServerHandle> settled(int count) {
+  /** Servers whose initial load ramp is over, all with the same average latency. */
+  private List<ServerHandle> warmedUpServers(int count) {
     List<ServerHandle> servers = servers(count);
-    time.advance(Duration.ofSeconds(10));
-    servers.forEach(this::settle);
+    clock.advance(Duration.ofSeconds(10));
+    servers.forEach(this::warmUp);
     return servers;
   }
 
-  private ServerHandle settle(ServerHandle handle) {
+  private ServerHandle warmUp(ServerHandle handle) {
     for (int i = 0; i < 10; i++) {
       handle.load().sent();
-      handle.load().answered(Duration.ofMillis(10).toNanos(), time.read());
+      handle.load().answered(Duration.ofMillis(10).toNanos(), clock.read());
     }
-    handle.load().reported(new LoadReport(2, 6, false), time.read());
+    handle.load().reported(new LoadReport(2, 6, false), clock.read());
     return handle;
   }
 
@@ -154,10 +157,10 @@
   private ServerHandle handle(String id, String dataCentre) {
     BackendServer server =
         new BackendServer(id, dataCentre, "127.0.0.1", 1, 6, 250, ServerState.ACTIVE);
-    long born = time.read() - Duration.ofSeconds(20).toNanos();
+    long created = clock.read() - Duration.ofSeconds(20).toNanos();
     return new ServerHandle(
         server,
-        new ServerLoad(server, born),
-        new ConnectionPool(new InetSocketAddress("127.0.0.1", 1), 1, time.clocks()));
+        new ServerLoad(server, created),
+        new ConnectionPool(new InetSocketAddress("127.0.0.1", 1), 1, clock.clocks()));
   }
 }
--- a/core/src/test/java/org/magnoliaswitch/core/request/StepScheduler.java
+++ b/core/src/test/java/org/magnoliaswitch/core/request/StepScheduler.java
@@ -6,13 +6,13 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * Runs tasks one step at a time in an order that a seed decides.
+ * Runs tasks one step at a time in an order that a seed determines.
  *
  * <p>Each task has a thread, of which only one runs at any time: a task that reaches {@link #step}
- * stops there until it is chosen again. Every run with the same seed is the same.
+ * pauses there until it is selected again. Runs with the same seed are identical.
  */
 final class StepScheduler {
-  /** Ends a task whose instance was killed. */
+  /** Thrown in a task whose instance was killed. */
   static final class KilledException extends RuntimeException {}
 
   private static final ThreadLocal<Task> CURRENT = new ThreadLocal<>();
@@ -30,7 +30,7 @@
 
   private final SplittableRandom random;
   private final List<Task> tasks = new ArrayList<>();
-  private final Semaphore stopped = new Semaphore(0);
+  private final Semaphore taskPaused = new Semaphore(0);
 
   StepScheduler(long seed) {
     this.random = new SplittableRandom(seed);
@@ -40,7 +40,7 @@
     return random;
   }
 
-  /** Adds a task; it runs when chosen. */
+  /** Adds a task, which runs when it is selected. */
   void add(String owner, Runnable body) {
     Task task = new Task(owner);
     tasks.add(task);
@@ -54,37 +54,37 @@
                   body.run();
                 }
               } catch (KilledException e) {
-                // The instance of this task was killed at its last step.
+                // The task's instance was killed at the last step.
               } finally {
                 task.finished = true;
-                stopped.release();
+                taskPaused.release();
               }
             });
   }
 
-  /** A point at which other tasks may go on first, or the task's instance may be killed. */
+  /** Marks a point at which other tasks may run first or the task's instance may be killed. */
   void step() {
     Task task = CURRENT.get();
-    stopped.release();
+    taskPaused.release();
     task.mayRun.acquireUninterruptibly();
     if (task.killed) {
       throw new KilledException();
     }
   }
 
-  /** Kills all tasks of an owner at their present steps. */
+  /** Kills all tasks of an owner at their current steps. */
   void kill(String owner) {
     tasks.stream().filter(task -> task.owner.equals(owner)).forEach(task -> task.killed = true);
   }
 
-  /** Runs all tasks to their ends. */
+  /** Runs all tasks until they finish. */
   void runAll() {
-    List<Task> open = new ArrayList<>(tasks);
-    while (!open.isEmpty()) {
-      Task next = open.get(random.nextInt(open.size()));
+    List<Task> unfinished = new ArrayList<>(tasks);
+    while (!unfinished.isEmpty()) {
+      Task next = unfinished.get(random.nextInt(unfinished.size()));
       next.mayRun.release();
-      stopped.acquireUninterruptibly();
-      open = new ArrayList<>(tasks.stream().filter(task -> !task.finished).toList());
+      taskPaused.acquireUninterruptibly();
+      unfinished = new ArrayList<>(tasks.stream().filter(task -> !task.finished).toList());
     }
   }
 }
