--- a/core/src/main/java/org/magnoliaswitch/core/connection/BackendConnection.java
+++ b/core/src/main/java/org/magnoliaswitch/core/connection/BackendConnection.java
@@ -32,7 +32,7 @@
     this.lastSuccessNanos = openedNanos;
   }
 
-  /** Opens a connection; blocks for the timeout at most. */
+  /** Opens a connection; blocks at most for the timeout. */
   public static BackendConnection open(InetSocketAddress address, int timeoutMillis, long nowNanos)
       throws IOException {
     Socket socket = new Socket();
@@ -48,7 +48,10 @@
     }
   }
 
-  /** Sends a request whole; bytes may have left as soon as this was called. */
+  /**
+   * Sends a complete request; parts of it may have reached the server as soon as this method is
+   * called.
+   */
   public void send(ClassicHttpRequest request) throws IOException, HttpException {
     http.sendRequestHeader(request);
     if (request.getEntity() != null) {
@@ -57,7 +60,7 @@
     http.flush();
   }
 
-  /** Waits for the final response head; informational responses are skipped. */
+  /** Waits for the final response head and skips informational responses. */
   public ClassicHttpResponse receiveHead() throws IOException, HttpException {
     ClassicHttpResponse response = http.receiveResponseHeader();
     while (response.getCode() < HttpStatus.SC_OK) {
@@ -66,33 +69,36 @@
     return response;
   }
 
-  /** Attaches the body, if the response has one, as the response's entity. */
+  /** Attaches the body, if any, to the response as its entity. */
   public void receiveBody(ClassicHttpResponse response) throws IOException, HttpException {
     http.receiveResponseEntity(response);
   }
 
-  /** Bounds each following read. */
+  /** Sets the timeout of each of the following reads. */
   public void setReadTimeout(long nanos) {
     long millis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(nanos));
     http.setSocketTimeout(Timeout.ofMilliseconds(millis));
   }
 
-  /** Notes that an exchange ended with a whole answer. */
+  /** Records that an exchange ended with a complete response. */
   public void recordSuccess(long nowNanos) {
     lastSuccessNanos = nowNanos;
   }
 
-  /** When it was opened. */
+  /** When the connection was opened. */
   public long openedNanos() {
     return openedNanos;
   }
 
-  /** When it last carried a whole answer, or was opened. */
+  /**
+   * When the last complete response was received, or when the connection was opened if there was
+   * none.
+   */
   public long lastSuccessNanos() {
     return lastSuccessNanos;
   }
 
-  /** Closes at once; a late answer then meets nobody. */
+  /** Closes the connection immediately, so that a late response is not read. */
   public void abort() {
     http.close(CloseMode.IMMEDIATE);
   }
--- a/core/src/main/java/org/magnoliaswitch/core/connection/ConnectionPool.java
+++ b/core/src/main/java/org/magnoliaswitch/core/connection/ConnectionPool.java
@@ -10,15 +10,16 @@
 import org.magnoliaswitch.core.clock.Clocks;
 
 /**
- * Connections of this instance to one backend server; the most recently used one is reused first.
+ * The connections of this instance to one backend server; the most recently used one is reused
+ * first.
  *
- * <p>A connection can go silent for good while new ones work, because something between the ends
- * forgot it. Two safeguards keep requests off such connections: idle ones are not reused after a
- * while, and one silence casts doubt on every sibling that has not carried an answer since it
- * began.
+ * <p>A connection can become permanently silent while new ones work, because a device on the
+ * network path has dropped its state. Two safeguards keep requests off such connections:
+ * connections that were idle for long are not reused, and an exchange without a response makes the
+ * pool distrust every connection that has not received a response since the exchange began.
  */
 public final class ConnectionPool {
-  /** Idle time after which a connection is closed instead of reused. */
+  /** Idle time after which a connection is closed instead of being reused. */
   private static final long MAX_IDLE_NANOS = 10_000_000_000L;
 
   private final InetSocketAddress address;
@@ -38,20 +39,21 @@
   /** Thrown when this instance's share of the server's connections is in use. */
   public static final class PoolExhaustedException extends IOException {
     PoolExhaustedException(int limit) {
-      super("all " + limit + " connections are in use");
+      super("all " + limit + " connections to the server are in use");
     }
   }
 
   /**
-   * Takes an idle connection whose last answer is recent enough, or opens one.
+   * Acquires an idle connection whose last response is recent enough, or opens a new one.
    *
-   * @param maxIdleNanos oldest last answer to accept; requests that must not end with an unknown
-   *     outcome for nothing pass a small value
+   * @param maxIdleNanos maximum age of the last response on a reused connection; small for requests
+   *     that must not be executed twice, whose outcome would be unknown if the connection turned
+   *     out to be broken
    */
   public BackendConnection acquire(long maxIdleNanos, int connectTimeoutMillis) throws IOException {
-    BackendConnection reused = acquireIdle(Math.min(maxIdleNanos, MAX_IDLE_NANOS));
-    if (reused != null) {
-      return reused;
+    BackendConnection idleConnection = acquireIdle(Math.min(maxIdleNanos, MAX_IDLE_NANOS));
+    if (idleConnection != null) {
+      return idleConnection;
     }
     if (open.incrementAndGet() > limit.get() && !evictOldestIdle()) {
       open.decrementAndGet();
@@ -66,8 +68,8 @@
   }
 
   /**
-   * Whether nobody listens at the server's address, as after the end of its process. No answer at
-   * all is not told from a cut path, and counts as a server that lives.
+   * Whether no process listens at the server's address, as after a crash. A connection attempt
+   * without any answer may be due to a broken network path, so that the server counts as running.
    */
   public boolean refusesConnections(int timeoutMillis) {
     try {
@@ -80,26 +82,30 @@
     }
   }
 
-  /** Gives back a connection whose exchange ended with a whole answer. */
+  /** Returns a connection whose exchange ended with a complete response. */
   public void release(BackendConnection connection) {
     connection.recordSuccess(clocks.nanos());
     idle.addFirst(connection);
   }
 
   /**
-   * Closes a connection whose exchange did not end with a whole answer, or that may not be kept.
+   * Closes a connection whose exchange ended without a complete response, or that must not be
+   * reused.
    */
   public void discard(BackendConnection connection) {
     connection.abort();
     open.decrementAndGet();
   }
 
-  /** Closes on next sight all idle connections without an answer since the given time. */
+  /**
+   * Distrusts all idle connections without a response since the given time; each is closed when the
+   * pool next encounters it.
+   */
   public void distrustIdleSince(long sinceNanos) {
     distrustedBeforeNanos.accumulateAndGet(sinceNanos, (a, b) -> b - a > 0 ? b : a);
   }
 
-  /** Closes connections that idled too long or are in doubt; called now and then. */
+  /** Closes connections that were idle too long or are distrusted; called periodically. */
   public void evictUnusable() {
     for (BackendConnection connection : idle) {
       if (!usable(connection, MAX_IDLE_NANOS) && idle.remove(connection)) {
@@ -108,17 +114,17 @@
     }
   }
 
-  /** Changes this instance's share of the server's connections. */
+  /** Sets this instance's share of the server's connections. */
   public void limit(int connections) {
     limit.set(connections);
   }
 
-  /** Connections now open. */
+  /** Number of open connections. */
   public int openConnections() {
     return open.get();
   }
 
-  /** Closes all idle connections; those in use are closed by their exchanges. */
+  /** Closes all idle connections; connections in use are closed by their exchanges. */
   public void closeIdle() {
     distrustIdleSince(clocks.nanos());
     evictUnusable();
@@ -130,7 +136,7 @@
         return next;
       }
       if (usable(next, MAX_IDLE_NANOS)) {
-        // Too old for this request only; all further ones are older still.
+        // Too old for this request only; the remaining connections are older.
         idle.addFirst(next);
         return null;
       }
--- a/core/src/main/java/org/magnoliaswitch/core/connection/package-info.java
+++ b/core/src/main/java/org/magnoliaswitch/core/connection/package-info.java
@@ -1,7 +1,4 @@
-/**
- * What lives for one connection to a backend server: pooling, exchanges and detection of silent
- * connections.
- */
+/** Connections to backend servers: pooling and detection of silent connections. */
 @NullMarked
 package org.magnoliaswitch.core.connection;
 
--- a/core/src/test/java/org/magnoliaswitch/core/connection/ConnectionPoolTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/connection/ConnectionPoolTest.java
@@ -15,85 +15,93 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Which connection a request gets. */
+/** Tests reuse, eviction and the limit of pooled connections. */
 public final class ConnectionPoolTest {
-  private static final long ANY = Long.MAX_VALUE;
-  private static final int TIMEOUT = 1_000;
+  private static final long UNLIMITED_NANOS = Long.MAX_VALUE;
+  private static final int TIMEOUT_MILLIS = 1_000;
 
-  private ManualClock time = new ManualClock();
+  private ManualClock clock = new ManualClock();
   private ServerSocket listener = listen();
   private ConnectionPool pool = pool(2);
 
   @BeforeMethod
-  public void fresh() throws IOException {
+  public void setUp() throws IOException {
     listener.close();
-    time = new ManualClock();
+    clock = new ManualClock();
     listener = listen();
     pool = pool(2);
   }
 
   @AfterMethod(alwaysRun = true)
-  public void stop() throws IOException {
+  public void tearDown() throws IOException {
     listener.close();
   }
 
   @Test
-  public void reusesTheMostRecentlyUsed() throws IOException {
-    BackendConnection first = pool.acquire(ANY, TIMEOUT);
-    BackendConnection second = pool.acquire(ANY, TIMEOUT);
+  public void reusesMostRecentlyUsedConnection() throws IOException {
+    BackendConnection first = pool.acquire(UNLIMITED_NANOS, TIMEOUT_MILLIS);
+    BackendConnection second = pool.acquire(UNLIMITED_NANOS, TIMEOUT_MILLIS);
     pool.release(first);
     pool.release(second);
-    assertSame(pool.acquire(ANY, TIMEOUT), second);
+    assertSame(pool.acquire(UNLIMITED_NANOS, TIMEOUT_MILLIS), second);
   }
 
-  /** A booking must not be put on a connection that nobody has heard of for a while. */
+  /**
+   * Guards against sending a request that must not be executed twice on a connection that may be
+   * broken because its last response is too old.
+   */
   @Test
-  public void opensANewOneWhenTheIdleOneIsTooOldForTheRequest() throws IOException {
-    BackendConnection idle = pool.acquire(ANY, TIMEOUT);
+  public void opensNewConnectionWhenIdleOneIsTooOldForRequest() throws IOException {
+    BackendConnection idle = pool.acquire(UNLIMITED_NANOS, TIMEOUT_MILLIS);
     pool.release(idle);
-    time.advance(Duration.ofSeconds(1));
-    assertNotSame(pool.acquire(Duration.ofMillis(500).toNanos(), TIMEOUT), idle);
-    assertSame(pool.acquire(ANY, TIMEOUT), idle);
+    clock.advance(Duration.ofSeconds(1));
+    assertNotSame(pool.acquire(Duration.ofMillis(500).toNanos(), TIMEOUT_MILLIS), idle);
+    assertSame(pool.acquire(UNLIMITED_NANOS, TIMEOUT_MILLIS), idle);
   }
 
-  /** One connection went silent; its siblings of the same age are not trusted any more. */
+  /** A silent connection makes the pool distrust the connections whose last response is older. */
   @Test
-  public void doubtClosesSiblingsWithoutALaterAnswer() throws IOException {
-    BackendConnection sibling = pool.acquire(ANY, TIMEOUT);
-    pool.release(sibling);
-    time.advance(Duration.ofSeconds(1));
-    pool.distrustIdleSince(time.read());
-    assertNotSame(pool.acquire(ANY, TIMEOUT), sibling);
+  public void distrustedConnectionsWithoutLaterResponseAreClosed() throws IOException {
+    BackendConnection idle = pool.acquire(UNLIMITED_NANOS, TIMEOUT_MILLIS);
+    pool.release(idle);
+    clock.advance(Duration.ofSeconds(1));
+    pool.distrustIdleSince(clock.read());
+    assertNotSame(pool.acquire(UNLIMITED_NANOS, TIMEOUT_MILLIS), idle);
     assertEquals(pool.openConnections(), 1);
   }
 
   @Test
-  public void sweepsWhatIdledTooLong() throws IOException {
-    pool.release(pool.acquire(ANY, TIMEOUT));
-    time.advance(Duration.ofSeconds(11));
+  public void unusedConnectionsAreEvicted() throws IOException {
+    pool.release(pool.acquire(UNLIMITED_NANOS, TIMEOUT_MILLIS));
+    clock.advance(Duration.ofSeconds(11));
     pool.evictUnusable();
     assertEquals(pool.openConnections(), 0);
   }
 
-  /** A server that leaves closes its side; found idle after its return it would break a request. */
+  /**
+   * A server that leaves closes its side of idle connections. Reused after the return of the
+   * server, such a connection would fail a request.
+   */
   @Test
-  public void closesEverythingIdleOfAServerThatLeaves() throws IOException {
-    pool.release(pool.acquire(ANY, TIMEOUT));
-    time.advance(Duration.ofMillis(1));
+  public void closesIdleConnectionsOfLeavingServer() throws IOException {
+    pool.release(pool.acquire(UNLIMITED_NANOS, TIMEOUT_MILLIS));
+    clock.advance(Duration.ofMillis(1));
     pool.closeIdle();
     assertEquals(pool.openConnections(), 0);
   }
 
   @Test
-  public void staysWithinItsShare() throws IOException {
-    pool.acquire(ANY, TIMEOUT);
-    pool.acquire(ANY, TIMEOUT);
-    assertThrows(ConnectionPool.PoolExhaustedException.class, () -> pool.acquire(ANY, TIMEOUT));
+  public void staysWithinItsLimit() throws IOException {
+    pool.acquire(UNLIMITED_NANOS, TIMEOUT_MILLIS);
+    pool.acquire(UNLIMITED_NANOS, TIMEOUT_MILLIS);
+    assertThrows(
+        ConnectionPool.PoolExhaustedException.class,
+        () -> pool.acquire(UNLIMITED_NANOS, TIMEOUT_MILLIS));
   }
 
   private ConnectionPool pool(int limit) {
     return new ConnectionPool(
-        new InetSocketAddress("127.0.0.1", listener.getLocalPort()), limit, time.clocks());
+        new InetSocketAddress("127.0.0.1", listener.getLocalPort()), limit, clock.clocks());
   }
 
   private static ServerSocket listen() {
