--- a/core/src/main/java/org/magnoliaswitch/core/peer/Address.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/Address.java
@@ -11,7 +11,7 @@
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record Address(String host, int port) {
-  /** The address for sockets; no name look-up takes place. */
+  /** Returns the address for sockets; the host must be an IP number, so no name is resolved. */
   public InetSocketAddress socket() {
     return new InetSocketAddress(host, port);
   }
--- a/core/src/main/java/org/magnoliaswitch/core/peer/Claim.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/Claim.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * A claim of an idempotency key for one incarnation.
+ * A claim of an idempotency key by one incarnation.
  *
- * @param key the key, prefixed by its service
- * @param incarnation who may execute the request
+ * @param key idempotency key, prefixed by the name of its service
+ * @param incarnation incarnation that may execute the request
  * @param fingerprint digest of the request's method, path and body
- * @param replacesRow row version to replace, 0 for a key that nobody holds
+ * @param replacesRow version of the row to replace, 0 if no incarnation holds the key
  * @param retentionSeconds how long the claim is kept
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
--- a/core/src/main/java/org/magnoliaswitch/core/peer/ClaimResult.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/ClaimResult.java
@@ -3,23 +3,23 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * Result of one claim.
+ * Result of a claim of an idempotency key.
  *
- * @param status what came of it
- * @param holder incarnation that holds the key when {@link Status#HELD}
- * @param fingerprint fingerprint the holder claimed with
+ * @param status whether the claim was granted
+ * @param holder incarnation that holds the key if the status is {@link Status#HELD}
+ * @param fingerprint fingerprint of the holder's claim
  * @param row version of the claim's row
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record ClaimResult(Status status, String holder, String fingerprint, long row) {
-  /** What came of a claim. */
+  /** Whether a claim was granted. */
   public enum Status {
     GRANTED,
     HELD,
-    /** The table gave no answer; the claim may still take effect. */
+    /** The claim table did not answer; the claim may still take effect. */
     UNAVAILABLE
   }
 
-  /** No answer from the table. */
+  /** Result of a claim to which the claim table did not answer. */
   public static final ClaimResult NO_ANSWER = new ClaimResult(Status.UNAVAILABLE, "", "", 0);
 }
--- a/core/src/main/java/org/magnoliaswitch/core/peer/CrashReportCodec.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/CrashReportCodec.java
@@ -15,136 +15,142 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Writes and reads reports of requests under which servers end, as MessagePack. Each report is
- * framed by itself, so that one of a kind that a later release adds is passed over.
+ * Encodes reports of requests that crash servers as MessagePack, and decodes them. Each report has
+ * a frame of its own, so that a kind which a later release adds is skipped.
  */
 public final class CrashReportCodec {
-  private static final int ENDED = 1;
+  private static final int CRASHED = 1;
   private static final int CLEARED = 2;
-  private static final int TRIED = 3;
+  private static final int TRIAL_STARTED = 3;
 
-  /** More than a full table of cases makes; a longer list is no message of ours. */
+  /**
+   * More reports than a full table of crash cases produces; a longer list is not a valid message.
+   */
   private static final int MAX_REPORTS = 16 << 10;
 
-  /** More than one case can name; a longer set is no message of ours. */
+  /** More servers than one crash case can name; a longer set is not a valid message. */
   private static final int MAX_SERVERS = 64;
 
-  /** More than such names take; a longer report must not be given memory. */
+  /**
+   * More bytes than a report with the maximum number of servers needs; no memory is allocated for a
+   * longer report.
+   */
   private static final int MAX_REPORT_BYTES = 32 << 10;
 
-  /** Most characters of an incarnation's name. */
+  /** Maximum length of an incarnation's name in characters. */
   private static final int MAX_NAME_LENGTH = 256;
 
   private CrashReportCodec() {}
 
-  /** Encodes reports as a message of their own. */
+  /** Encodes reports as a separate message. */
   public static byte[] encode(List<CrashReport> reports) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       write(out, reports);
       return out.toByteArray();
     } catch (IOException e) {
-      throw new IllegalStateException("writing to memory does not fail", e);
+      throw new IllegalStateException("cannot encode crash reports", e);
     }
   }
 
-  /** Decodes a message of reports; anything malformed is an {@link IOException}. */
+  /** Decodes a message of reports; throws an {@link IOException} if the message is malformed. */
   public static List<CrashReport> decode(byte[] bytes) throws IOException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       return read(in);
     } catch (MessagePackException | IllegalArgumentException e) {
-      throw new IOException("malformed reports", e);
+      throw new IOException("malformed crash reports", e);
     }
   }
 
-  /** Writes reports as a part of a message. */
+  /** Writes reports as a part of a larger message. */
   public static void write(MessagePacker out, List<CrashReport> reports) throws IOException {
     out.packArrayHeader(reports.size());
     for (CrashReport report : reports) {
-      byte[] framed = framed(report);
+      byte[] framed = encodeReport(report);
       out.packBinaryHeader(framed.length);
       out.writePayload(framed);
     }
   }
 
-  /** Reads reports as a part of a message. */
+  /** Reads reports that are a part of a larger message. */
   public static List<CrashReport> read(MessageUnpacker in) throws IOException {
     int count = in.unpackArrayHeader();
     if (count > MAX_REPORTS) {
-      throw new IOException(count + " reports are too many");
+      throw new IOException(count + " crash reports in a message exceed the limit");
     }
     List<CrashReport> reports = new ArrayList<>();
-    for (int left = count; left > 0; left--) {
+    for (int remaining = count; remaining > 0; remaining--) {
       int length = in.unpackBinaryHeader();
       if (length > MAX_REPORT_BYTES) {
-        throw new IOException("a report of " + length + " bytes is too long");
+        throw new IOException("a crash report of " + length + " bytes exceeds the limit");
       }
       byte[] framed = in.readPayload(length);
-      try (MessageUnpacker one = MessagePack.newDefaultUnpacker(framed)) {
-        readOne(one).ifPresent(reports::add);
+      try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(framed)) {
+        readReport(unpacker).ifPresent(reports::add);
       }
     }
     return reports;
   }
 
-  private static byte[] framed(CrashReport report) throws IOException {
+  private static byte[] encodeReport(CrashReport report) throws IOException {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       switch (report) {
-        case CrashReport.Crashed ended -> {
-          writeHead(out, ENDED, ended.request());
-          out.packString(ended.server());
-          out.packBoolean(ended.warned());
+        case CrashReport.Crashed crashed -> {
+          writeHeader(out, CRASHED, crashed.request());
+          out.packString(crashed.server());
+          out.packBoolean(crashed.warned());
         }
         case CrashReport.Cleared cleared -> {
-          writeHead(out, CLEARED, cleared.request());
+          writeHeader(out, CLEARED, cleared.request());
           out.packArrayHeader(cleared.servers().size());
           for (String server : cleared.servers()) {
             out.packString(server);
           }
           out.packInt(cleared.trials());
         }
-        case CrashReport.TrialStarted tried -> {
-          writeHead(out, TRIED, tried.request());
-          out.packInt(tried.trialNumber());
+        case CrashReport.TrialStarted trialStarted -> {
+          writeHeader(out, TRIAL_STARTED, trialStarted.request());
+          out.packInt(trialStarted.trialNumber());
         }
       }
       return out.toByteArray();
     }
   }
 
-  private static void writeHead(MessagePacker out, int kind, RequestIdentity request)
+  private static void writeHeader(MessagePacker out, int kind, RequestIdentity request)
       throws IOException {
     out.packInt(kind);
     out.packLong(request.high());
     out.packLong(request.low());
   }
 
-  private static Optional<CrashReport> readOne(MessageUnpacker in) throws IOException {
+  private static Optional<CrashReport> readReport(MessageUnpacker in) throws IOException {
     int kind = in.unpackInt();
     RequestIdentity request = new RequestIdentity(in.unpackLong(), in.unpackLong());
     return switch (kind) {
-      case ENDED -> Optional.of(new CrashReport.Crashed(request, name(in), in.unpackBoolean()));
-      case CLEARED -> Optional.of(new CrashReport.Cleared(request, names(in), in.unpackInt()));
-      case TRIED -> Optional.of(new CrashReport.TrialStarted(request, in.unpackInt()));
+      case CRASHED ->
+          Optional.of(new CrashReport.Crashed(request, readName(in), in.unpackBoolean()));
+      case CLEARED -> Optional.of(new CrashReport.Cleared(request, readNames(in), in.unpackInt()));
+      case TRIAL_STARTED -> Optional.of(new CrashReport.TrialStarted(request, in.unpackInt()));
       default -> Optional.empty();
     };
   }
 
-  private static Set<String> names(MessageUnpacker in) throws IOException {
+  private static Set<String> readNames(MessageUnpacker in) throws IOException {
     int count = in.unpackArrayHeader();
     if (count > MAX_SERVERS) {
-      throw new IOException(count + " servers are too many");
+      throw new IOException(count + " servers in a crash report exceed the limit");
     }
     Set<String> names = new HashSet<>();
-    for (int left = count; left > 0; left--) {
-      names.add(name(in));
+    for (int remaining = count; remaining > 0; remaining--) {
+      names.add(readName(in));
     }
     return names;
   }
 
-  private static String name(MessageUnpacker in) throws IOException {
+  private static String readName(MessageUnpacker in) throws IOException {
     String name = in.unpackString();
     if (name.length() > MAX_NAME_LENGTH) {
-      throw new IOException("a name of " + name.length() + " characters is too long");
+      throw new IOException("a name of " + name.length() + " characters exceeds the limit");
     }
     return name;
   }
--- a/core/src/main/java/org/magnoliaswitch/core/peer/FrameCodec.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/FrameCodec.java
@@ -9,10 +9,13 @@
 import java.io.IOException;
 import org.msgpack.jackson.dataformat.MessagePackMapper;
 
-/** Frames of the peer protocol: a 4-byte big-endian length, then one MessagePack value. */
+/**
+ * Encodes and decodes the frames of the peer protocol: a 4-byte big-endian length, then one
+ * MessagePack value.
+ */
 public final class FrameCodec {
-  /** Largest frame accepted, in bytes. */
-  public static final int MAX_FRAME = 4 * 1024 * 1024;
+  /** Maximum size of a frame in bytes. */
+  public static final int MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
   private static final ObjectMapper MAPPER =
       new MessagePackMapper()
@@ -21,21 +24,21 @@
 
   private FrameCodec() {}
 
-  /** Encodes a message with its length in front. */
+  /** Encodes a message as the content of a frame. */
   public static byte[] encode(PeerMessage message) {
     try {
       return MAPPER.writerFor(PeerMessage.class).writeValueAsBytes(message);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("peer messages are always encodable", e);
+      throw new IllegalStateException("cannot encode the peer message", e);
     }
   }
 
-  /** Decodes one message. */
+  /** Decodes the content of a frame. */
   public static PeerMessage decode(byte[] frame) throws FrameException {
     try {
       PeerMessage message = MAPPER.readValue(frame, PeerMessage.class);
       if (message == null) {
-        throw new FrameException(FrameException.Reason.MALFORMED, "an empty message");
+        throw new FrameException(FrameException.Reason.MALFORMED, "the frame contains no message");
       }
       return message;
     } catch (FrameException e) {
@@ -45,18 +48,19 @@
     }
   }
 
-  /** Writes one frame. */
+  /** Writes one frame with its length. */
   public static void write(DataOutputStream out, byte[] frame) throws IOException {
     out.writeInt(frame.length);
     out.write(frame);
     out.flush();
   }
 
-  /** Reads one frame; the length is checked before any memory is taken. */
+  /** Reads one frame; the length is checked before memory is allocated. */
   public static byte[] read(DataInputStream in) throws IOException {
     int length = in.readInt();
-    if (length < 0 || length > MAX_FRAME) {
-      throw new FrameException(FrameException.Reason.OVERSIZE, "a frame of " + length + " bytes");
+    if (length < 0 || length > MAX_FRAME_BYTES) {
+      throw new FrameException(
+          FrameException.Reason.OVERSIZE, "a frame of " + length + " bytes is outside the limits");
     }
     byte[] frame = in.readNBytes(length);
     if (frame.length < length) {
--- a/core/src/main/java/org/magnoliaswitch/core/peer/FrameException.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/FrameException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Thrown when a frame is oversize, malformed or unauthenticated. */
+/** Thrown when a frame is too large, malformed or not authenticated. */
 public final class FrameException extends IOException {
   /** Why the frame was refused. */
   public enum Reason {
--- a/core/src/main/java/org/magnoliaswitch/core/peer/GossipDigest.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/GossipDigest.java
@@ -5,14 +5,14 @@
 import org.magnoliaswitch.core.clock.HybridTimestamp;
 
 /**
- * Bounded summary that two instances exchange: fixed-size whatever the number of instances.
+ * Summary that two instances exchange; its size is bounded, independent of the number of instances.
  *
- * @param millis hybrid clock of the sender
- * @param counter hybrid clock of the sender
+ * @param millis physical part of the sender's hybrid clock
+ * @param counter logical part of the sender's hybrid clock
  * @param version number of the configuration in force
- * @param manifest digest of its manifest
- * @param members the sender and a bounded sample of the members it knows
- * @param leaving backend servers recently noticed to leave
+ * @param manifest digest of the manifest of that version
+ * @param members the sender and a bounded sample of the members that it knows
+ * @param leaving recent notices about leaving backend servers
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record GossipDigest(
@@ -22,7 +22,7 @@
     String manifest,
     List<Member> members,
     List<LeavingNotice> leaving) {
-  /** The hybrid clock of the sender. */
+  /** Time of the sender's hybrid clock. */
   public HybridTimestamp time() {
     return new HybridTimestamp(millis, counter);
   }
--- a/core/src/main/java/org/magnoliaswitch/core/peer/LeavingNotice.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/LeavingNotice.java
@@ -3,22 +3,24 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * News of whether a backend server leaves, by one kind of sign; the latest sign of a kind counts.
+ * Notice from one source whether a backend server leaves; the latest notice of each source counts.
  *
  * @param server id of the server
- * @param sign kind of sign
- * @param atMillis when it was seen first-hand
- * @param leaving whether the server leaves, by this sign
+ * @param source source of the notice
+ * @param atMillis when an instance received it directly from the source
+ * @param leaving whether the server leaves according to the source
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record LeavingNotice(String server, Source source, long atMillis, boolean leaving) {
-  /** Who said so; any one is enough to stop new work. */
+  /**
+   * Source of a notice. A notice from a single source is enough to stop new requests to the server.
+   */
   public enum Source {
     /** The server's own report. */
     REPORT,
-    /** The platform's list. */
+    /** The platform's list of servers. */
     LIST,
-    /** An operator, by word of mouth. */
+    /** A command of an operator. */
     OPERATOR
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/peer/Member.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/Member.java
@@ -3,17 +3,18 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * One entry instance, as gossip spreads it.
+ * One entry instance, as gossip distributes it.
  *
- * @param incarnation fresh id per process start: a restart under the same address is another member
- * @param instance name from the settings
- * @param dataCentre where it runs
+ * @param incarnation id that is new for each start of the process: after a restart with the same
+ *     address the instance is a different member
+ * @param instance name of the instance from its settings
+ * @param dataCentre data centre in which it runs
  * @param host IP number of its three listeners
  * @param callerPort port for callers
  * @param operatorPort port for operators
  * @param peerPort port for peers
- * @param heartbeat rises while it lives
- * @param state what it says of itself
+ * @param heartbeat number that increases while the instance is alive
+ * @param state state that the instance reports
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record Member(
@@ -26,18 +27,26 @@
     int peerPort,
     long heartbeat,
     MemberState state) {
-  /** The same member with a later heartbeat. */
-  public Member withHeartbeat(long next, MemberState now) {
+  /** Returns this member with a later heartbeat and the given state. */
+  public Member withHeartbeat(long nextHeartbeat, MemberState newState) {
     return new Member(
-        incarnation, instance, dataCentre, host, callerPort, operatorPort, peerPort, next, now);
+        incarnation,
+        instance,
+        dataCentre,
+        host,
+        callerPort,
+        operatorPort,
+        peerPort,
+        nextHeartbeat,
+        newState);
   }
 
-  /** Address of its listener for peers. */
+  /** Address of the listener for peers. */
   public Address peerAddress() {
     return new Address(host, peerPort);
   }
 
-  /** Address of its listener for callers. */
+  /** Address of the listener for callers. */
   public Address callerAddress() {
     return new Address(host, callerPort);
   }
--- a/core/src/main/java/org/magnoliaswitch/core/peer/MemberState.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/MemberState.java
@@ -1,8 +1,8 @@
 package org.magnoliaswitch.core.peer;
 
-/** What an instance says of itself. */
+/** State that an instance reports about itself. */
 public enum MemberState {
   SERVING,
-  /** Is stopping; final for its incarnation. */
+  /** The instance is stopping; an incarnation never returns from this state. */
   LEAVING
 }
--- a/core/src/main/java/org/magnoliaswitch/core/peer/PeerClient.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/PeerClient.java
@@ -9,7 +9,8 @@
 import java.util.Map;
 
 /**
- * Calls peers over kept connections; the number of kept ones is bounded, least recent out first.
+ * Calls peers over pooled connections. The number of peers with pooled connections is bounded; the
+ * connections of the least recently used peer are closed first.
  */
 public final class PeerClient implements AutoCloseable {
   private static final int MAX_POOLED_PEERS = 8;
@@ -27,22 +28,22 @@
   /**
    * Sends a request and waits for the reply.
    *
-   * @throws IOException when the peer gave no whole reply in time; the request may have been
-   *     handled
+   * @throws IOException if the peer gave no complete reply in time; it may have handled the request
    */
   public PeerMessage call(Address peer, PeerMessage request, int timeoutMillis) throws IOException {
     PeerConnection connection = acquireOrOpen(peer, timeoutMillis);
-    boolean whole = false;
+    boolean complete = false;
     try {
       connection.setReadTimeout(Math.max(1, timeoutMillis));
       connection.write(request);
       PeerMessage reply = connection.read();
-      whole = true;
+      complete = true;
       traffic.messages().addAndGet(2);
       return reply;
     } finally {
-      // A connection without a whole reply is closed: a late reply must not meet the next request.
-      if (whole) {
+      // A connection without a complete reply is closed: a late reply must not be taken for the
+      // reply to the next request.
+      if (complete) {
         pool(peer, connection);
       } else {
         connection.close();
@@ -51,7 +52,7 @@
     }
   }
 
-  /** Peers to which a connection is kept. */
+  /** Peers with pooled connections. */
   public List<Address> connectedPeers() {
     synchronized (pooled) {
       return List.copyOf(pooled.keySet());
@@ -61,16 +62,16 @@
   @Override
   public void close() {
     synchronized (pooled) {
-      pooled.values().forEach(queue -> queue.forEach(PeerConnection::close));
+      pooled.values().forEach(connections -> connections.forEach(PeerConnection::close));
       pooled.clear();
     }
   }
 
   private PeerConnection acquireOrOpen(Address peer, int timeoutMillis) throws IOException {
     synchronized (pooled) {
-      Deque<PeerConnection> queue = pooled.get(peer);
-      if (queue != null && !queue.isEmpty()) {
-        return queue.pop();
+      Deque<PeerConnection> connections = pooled.get(peer);
+      if (connections != null && !connections.isEmpty()) {
+        return connections.pop();
       }
     }
     Socket socket = new Socket();
@@ -88,11 +89,11 @@
 
   private void pool(Address peer, PeerConnection connection) {
     synchronized (pooled) {
-      Deque<PeerConnection> queue = pooled.computeIfAbsent(peer, p -> new ArrayDeque<>());
-      if (queue.size() >= MAX_POOLED_PER_PEER) {
+      Deque<PeerConnection> connections = pooled.computeIfAbsent(peer, p -> new ArrayDeque<>());
+      if (connections.size() >= MAX_POOLED_PER_PEER) {
         connection.close();
       } else {
-        queue.push(connection);
+        connections.push(connection);
       }
       if (pooled.size() > MAX_POOLED_PEERS) {
         Address oldest = pooled.keySet().iterator().next();
@@ -103,9 +104,9 @@
 
   private void closePooled(Address peer) {
     synchronized (pooled) {
-      Deque<PeerConnection> queue = pooled.remove(peer);
-      if (queue != null) {
-        queue.forEach(PeerConnection::close);
+      Deque<PeerConnection> connections = pooled.remove(peer);
+      if (connections != null) {
+        connections.forEach(PeerConnection::close);
       }
     }
   }
--- a/core/src/main/java/org/magnoliaswitch/core/peer/PeerConnection.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/PeerConnection.java
@@ -12,11 +12,11 @@
 /**
  * One authenticated connection between two instances.
  *
- * <p>The accepting side sends a random challenge; the connecting side answers with the challenge
- * signed by the shared secret. Nothing else is read before that answer was right.
+ * <p>The accepting side sends a random challenge; the connecting side answers with the signature of
+ * the challenge by the shared secret. Nothing else is read until that signature has been verified.
  */
 final class PeerConnection implements AutoCloseable {
-  private static final int MAX_HANDSHAKE = 64;
+  private static final int MAX_HANDSHAKE_BYTES = 64;
 
   private final Socket socket;
   private final DataInputStream in;
@@ -31,11 +31,12 @@
     this.out = new DataOutputStream(new BufferedOutputStream(socket.getOutputStream(), 2048));
   }
 
-  /** Accepting side: sends a challenge and checks the answer. */
+  /** Accepting side: sends a challenge and verifies the signature. */
   void authenticatePeer(String challenge, PeerSecret secret) throws IOException {
     writeHandshake(challenge.getBytes(StandardCharsets.US_ASCII));
     if (!secret.matches(challenge, readHandshake())) {
-      throw new FrameException(FrameException.Reason.UNAUTHENTICATED, "a wrong signature");
+      throw new FrameException(
+          FrameException.Reason.UNAUTHENTICATED, "the signature of the challenge is wrong");
     }
   }
 
@@ -66,7 +67,7 @@
     try {
       socket.close();
     } catch (IOException e) {
-      // A socket that fails to close is of no more use either way.
+      // The connection is abandoned, whether or not the socket could be closed.
       return;
     }
   }
@@ -80,8 +81,10 @@
 
   private byte[] readHandshake() throws IOException {
     int length = in.readUnsignedByte();
-    if (length > MAX_HANDSHAKE) {
-      throw new FrameException(FrameException.Reason.OVERSIZE, "a handshake of " + length);
+    if (length > MAX_HANDSHAKE_BYTES) {
+      throw new FrameException(
+          FrameException.Reason.OVERSIZE,
+          "the length of the handshake exceeds the limit: " + length);
     }
     bytes.addAndGet(length + 1L);
     return in.readNBytes(length);
--- a/core/src/main/java/org/magnoliaswitch/core/peer/PeerHandler.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/PeerHandler.java
@@ -1,6 +1,6 @@
 package org.magnoliaswitch.core.peer;
 
-/** Answers requests of peers. */
+/** Handles requests of peers. */
 @FunctionalInterface
 public interface PeerHandler {
   /** Returns the reply to a request. */
--- a/core/src/main/java/org/magnoliaswitch/core/peer/PeerMessage.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/PeerMessage.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A message between entry instances; each request has one reply on the same connection. */
+/** A message between entry instances; each request gets one reply on the same connection. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t", include = JsonTypeInfo.As.WRAPPER_ARRAY)
 @JsonSubTypes({
   @JsonSubTypes.Type(value = PeerMessage.Gossip.class, name = "g"),
@@ -18,30 +18,31 @@
   @JsonSubTypes.Type(value = PeerMessage.Unsupported.class, name = "u")
 })
 public sealed interface PeerMessage {
-  /** A summary; the reply is the receiver's own. */
+  /** Summary of the sender's state; the reply is that of the receiver. */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   record Gossip(GossipDigest digest) implements PeerMessage {}
 
-  /** Asks for content by digest. */
+  /** Requests content by digest. */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   record FetchContent(List<String> digests) implements PeerMessage {}
 
-  /** Content by digest; what the sender lacks is left out. */
+  /** Content by digest, without the content that the sender lacks. */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   record Content(Map<String, byte[]> byDigest) implements PeerMessage {}
 
-  /** Asks the receiver to claim keys for the sender in one of its grouped transactions. */
+  /** Requests that the receiver claim keys for the sender in one of its grouped transactions. */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   record ClaimKeys(List<Claim> claims, int windowMillis, int waitMillis) implements PeerMessage {}
 
-  /** Results in the order of the claims. */
+  /** Results of claims, in the order of the claims. */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   record ClaimResults(List<ClaimResult> results) implements PeerMessage {}
 
   /**
-   * Tells of requests under which servers end; the reply tells what the receiver knows besides.
+   * Reports of requests that crash servers; the reply contains the reports that the receiver has in
+   * addition.
    *
-   * @param reports as {@link CrashReportCodec} writes them
+   * @param reports reports, encoded by {@link CrashReportCodec}
    */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   record Crashes(byte[] reports) implements PeerMessage {}
--- a/core/src/main/java/org/magnoliaswitch/core/peer/PeerSecret.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/PeerSecret.java
@@ -4,7 +4,9 @@
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 
-/** The secret that all entry instances share; it authenticates peers and issued keys. */
+/**
+ * The secret that all entry instances share; it authenticates peers and issued idempotency keys.
+ */
 public final class PeerSecret {
   private static final int MIN_BYTES = 16;
 
@@ -12,17 +14,18 @@
 
   public PeerSecret(byte[] secret) {
     if (secret.length < MIN_BYTES) {
-      throw new IllegalArgumentException("a peer secret has at least " + MIN_BYTES + " bytes");
+      throw new IllegalArgumentException(
+          "the peer secret must have at least " + MIN_BYTES + " bytes");
     }
     this.secret = secret.clone();
   }
 
-  /** HMAC-SHA-256 of a text. */
+  /** Returns the HMAC-SHA-256 of a text. */
   public byte[] sign(String text) {
     return Hashing.hmacSha256(secret).hashString(text, StandardCharsets.UTF_8).asBytes();
   }
 
-  /** Compares in constant time. */
+  /** Whether the signature is that of the text; compares in constant time. */
   public boolean matches(String text, byte[] signature) {
     return MessageDigest.isEqual(sign(text), signature);
   }
--- a/core/src/main/java/org/magnoliaswitch/core/peer/PeerServer.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/PeerServer.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Accepts connections of peers; each is served by a virtual thread of its own. */
+/** Accepts connections of peers and serves each on its own virtual thread. */
 public final class PeerServer implements AutoCloseable {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final int HANDSHAKE_TIMEOUT_MILLIS = 2_000;
@@ -34,10 +34,10 @@
     this.listener = new ServerSocket();
     listener.setReuseAddress(true);
     listener.bind(new InetSocketAddress(address.host(), address.port()));
-    Thread.ofVirtual().name("peer-accept").start(this::acceptAll);
+    Thread.ofVirtual().name("peer-accept").start(this::acceptConnections);
   }
 
-  /** The port listened on, also when the settings said 0. */
+  /** The port on which the server listens, also if the settings specify port 0. */
   public int port() {
     return listener.getLocalPort();
   }
@@ -52,7 +52,7 @@
     connections.forEach(PeerConnection::close);
   }
 
-  private void acceptAll() {
+  private void acceptConnections() {
     while (!listener.isClosed()) {
       try {
         Socket socket = listener.accept();
@@ -74,7 +74,7 @@
         connection.setReadTimeout(HANDSHAKE_TIMEOUT_MILLIS);
         connection.authenticatePeer(challenge(), secret);
         connection.setReadTimeout(IDLE_TIMEOUT_MILLIS);
-        answerAll(connection);
+        handleRequests(connection);
       } finally {
         connections.remove(connection);
       }
@@ -90,7 +90,7 @@
     }
   }
 
-  private void answerAll(PeerConnection connection) throws IOException {
+  private void handleRequests(PeerConnection connection) throws IOException {
     while (!listener.isClosed()) {
       PeerMessage request = connection.read();
       traffic.messages().addAndGet(2);
--- a/core/src/main/java/org/magnoliaswitch/core/peer/PeerTraffic.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/PeerTraffic.java
@@ -3,11 +3,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Counts of the peer protocol at one instance.
+ * Counters of the peer protocol on one instance.
  *
- * @param bytes sent and received, framing included, TCP/IP headers not
- * @param messages sent and received
- * @param refused connections closed for a bad frame or signature
+ * @param bytes bytes sent and received, including frames but not TCP/IP headers
+ * @param messages messages sent and received
+ * @param rejected connections closed because of an invalid frame or signature
  */
 public record PeerTraffic(AtomicLong bytes, AtomicLong messages, AtomicLong rejected) {
   public PeerTraffic() {
--- a/core/src/test/java/org/magnoliaswitch/core/peer/PeerProtocolTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/peer/PeerProtocolTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Frames between instances, good and bad. */
+/** Tests valid and invalid frames between instances. */
 public final class PeerProtocolTest {
   private static final PeerSecret SECRET = secret("0123456789abcdef");
   private static final Member MEMBER =
@@ -27,14 +27,14 @@
   private PeerServer server = start(traffic);
 
   @BeforeMethod
-  public void fresh() {
+  public void setUp() {
     server.close();
     traffic = new PeerTraffic();
     server = start(traffic);
   }
 
   @AfterMethod(alwaysRun = true)
-  public void stop() {
+  public void tearDown() {
     server.close();
   }
 
@@ -75,7 +75,7 @@
   }
 
   @Test
-  public void aCallGetsItsReply() throws IOException {
+  public void aCallReceivesItsReply() throws IOException {
     try (PeerClient client = new PeerClient(SECRET, new PeerTraffic())) {
       assertEquals(
           client.call(address(), new PeerMessage.Unsupported("x"), 2_000),
@@ -84,50 +84,50 @@
   }
 
   @Test
-  public void aWrongSecretIsRefusedAndCounted() throws IOException {
+  public void aWrongSecretIsRejectedAndCounted() throws IOException {
     try (PeerClient client = new PeerClient(secret("another-secret-x"), new PeerTraffic())) {
       assertThrows(
           IOException.class, () -> client.call(address(), new PeerMessage.Unsupported("x"), 2_000));
     }
-    awaitRefused(1);
+    awaitRejected(1);
   }
 
   @Test
-  public void anOversizeFrameIsRefusedBeforeItIsRead() throws IOException {
-    try (Socket socket = authenticated()) {
-      new DataOutputStream(socket.getOutputStream()).writeInt(FrameCodec.MAX_FRAME + 1);
+  public void anOversizeFrameIsRejectedBeforeItIsRead() throws IOException {
+    try (Socket socket = connectAuthenticated()) {
+      new DataOutputStream(socket.getOutputStream()).writeInt(FrameCodec.MAX_FRAME_BYTES + 1);
       assertEquals(socket.getInputStream().read(), -1);
     }
-    awaitRefused(1);
+    awaitRejected(1);
   }
 
-  /** Whatever bytes come, the connection is closed and others go on being served. */
+  /** Invalid bytes close their connection only; other connections are still served. */
   @Test
-  public void randomBytesCloseTheirConnectionOnly() throws IOException {
+  public void randomBytesCloseOnlyTheirConnection() throws IOException {
     SplittableRandom random = new SplittableRandom(11);
     for (int i = 0; i < 300; i++) {
       byte[] garbage = new byte[1 + random.nextInt(60)];
       random.nextBytes(garbage);
-      try (Socket socket = authenticated()) {
+      try (Socket socket = connectAuthenticated()) {
         DataOutputStream out = new DataOutputStream(socket.getOutputStream());
         FrameCodec.write(out, garbage);
         socket.shutdownOutput();
         socket.getInputStream().readAllBytes();
       } catch (java.net.SocketException e) {
-        // Closed with bytes unread, which resets it.
+        // The server closed the connection with unread bytes, which resets it.
       }
     }
-    assertTrue(traffic.rejected().get() > 200, "refused " + traffic.rejected().get());
-    aCallGetsItsReply();
+    assertTrue(traffic.rejected().get() > 200, "rejected connections: " + traffic.rejected().get());
+    aCallReceivesItsReply();
   }
 
-  private void awaitRefused(long count) {
+  private void awaitRejected(long count) {
     while (traffic.rejected().get() < count) {
       Thread.onSpinWait();
     }
   }
 
-  private Socket authenticated() throws IOException {
+  private Socket connectAuthenticated() throws IOException {
     Socket socket = new Socket(java.net.InetAddress.getLoopbackAddress(), server.port());
     socket.setSoTimeout(5_000);
     DataInputStream in = new DataInputStream(socket.getInputStream());
