--- a/core/src/main/java/org/magnoliaswitch/core/peer/PeerServer.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/PeerServer.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Accepts connections of peers; each is served by a virtual thread of its own. */
+/** Accepts connections of peers and serves each on its own virtual thread. */
 public final class PeerServer implements AutoCloseable {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final int HANDSHAKE_TIMEOUT_MILLIS = 2_000;
@@ -34,10 +34,10 @@
     this.listener = new ServerSocket();
     listener.setReuseAddress(true);
     listener.bind(new InetSocketAddress(address.host(), address.port()));
-    Thread.ofVirtual().name("peer-accept").start(this::acceptAll);
+    Thread.ofVirtual().name("peer-accept").start(this::acceptConnections);
   }
 
-  /** The port listened on, also when the settings said 0. */
+  /** The port on which the server listens, also if the settings specify port 0. */
   public int port() {
     return listener.getLocalPort();
   }
@@ -52,7 +52,7 @@
     connections.forEach(PeerConnection::close);
   }
 
-  private void acceptAll() {
+  private void acceptConnections() {
     while (!listener.isClosed()) {
       try {
         Socket socket = listener.accept();
@@ -71,15 +71,15 @@
     try (PeerConnection connection = new PeerConnection(socket, traffic.bytes())) {
       connections.add(connection);
       try {
-        connection.readTimeout(HANDSHAKE_TIMEOUT_MILLIS);
-        connection.authenticateCaller(challenge(), secret);
-        connection.readTimeout(IDLE_TIMEOUT_MILLIS);
-        answerAll(connection);
+        connection.setReadTimeout(HANDSHAKE_TIMEOUT_MILLIS);
+        connection.authenticatePeer(challenge(), secret);
+        connection.setReadTimeout(IDLE_TIMEOUT_MILLIS);
+        handleRequests(connection);
       } finally {
         connections.remove(connection);
       }
     } catch (FrameException e) {
-      traffic.refused().incrementAndGet();
+      traffic.rejected().incrementAndGet();
       logger.atWarning().log(
           "event=peer_frame_refused reason=%s from=%s",
           e.reason(), socket.getRemoteSocketAddress());
@@ -90,11 +90,11 @@
     }
   }
 
-  private void answerAll(PeerConnection connection) throws IOException {
+  private void handleRequests(PeerConnection connection) throws IOException {
     while (!listener.isClosed()) {
       PeerMessage request = connection.read();
       traffic.messages().addAndGet(2);
-      connection.write(handler.answer(request));
+      connection.write(handler.handle(request));
     }
   }
 
--- a/core/src/main/java/org/magnoliaswitch/core/process/Gossip.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Gossip.java
@@ -10,7 +10,7 @@
 import java.util.random.RandomGenerator;
 import org.magnoliaswitch.core.peer.Address;
 import org.magnoliaswitch.core.peer.GossipDigest;
-import org.magnoliaswitch.core.peer.LeavingMark;
+import org.magnoliaswitch.core.peer.LeavingNotice;
 import org.magnoliaswitch.core.peer.Member;
 import org.magnoliaswitch.core.peer.PeerClient;
 import org.magnoliaswitch.core.peer.PeerMessage;
@@ -161,7 +161,7 @@
     for (Member member : received.members()) {
       changed |= mergeMember(member);
     }
-    for (LeavingMark mark : received.leaving()) {
+    for (LeavingNotice mark : received.leaving()) {
       if (leaving.merge(mark)) {
         timeline.record(
             EventKind.SERVER_LEAVING, "", "", mark.server(), "sign=peer leaving=" + mark.leaving());
@@ -209,7 +209,7 @@
     List<Address> known = new ArrayList<>(membership.peerAddresses());
     List<Address> otherSeeds = new ArrayList<>(seeds);
     otherSeeds.remove(membership.self().peerAddress());
-    List<Address> connected = new ArrayList<>(client.keptPeers());
+    List<Address> connected = new ArrayList<>(client.connectedPeers());
     connected.retainAll(known);
     List<Address> picked = new ArrayList<>();
     for (int attempts = 0; attempts < 3 * count && picked.size() < count; attempts++) {
--- a/core/src/main/java/org/magnoliaswitch/core/process/LeavingServers.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/LeavingServers.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import org.magnoliaswitch.core.clock.Clocks;
-import org.magnoliaswitch.core.peer.LeavingMark;
-import org.magnoliaswitch.core.peer.LeavingMark.Sign;
+import org.magnoliaswitch.core.peer.LeavingNotice;
+import org.magnoliaswitch.core.peer.LeavingNotice.Source;
 
 /**
  * Backend servers that are leaving according to any kind of sign.
@@ -26,10 +26,10 @@
 
   private static final int MAX_MARKS_PER_MESSAGE = 12;
 
-  private record Key(String server, Sign sign) {}
+  private record Key(String server, Source sign) {}
 
   private final Clocks clocks;
-  private final Map<Key, LeavingMark> marks = new ConcurrentHashMap<>();
+  private final Map<Key, LeavingNotice> marks = new ConcurrentHashMap<>();
 
   public LeavingServers(Clocks clocks) {
     this.clocks = clocks;
@@ -38,33 +38,33 @@
   /**
    * Records a first-hand sign that a server is leaving; returns whether peers should be informed.
    */
-  public boolean markLeaving(String server, Sign sign) {
-    return recordFirstHand(new LeavingMark(server, sign, clocks.millis(), true));
+  public boolean markLeaving(String server, Source sign) {
+    return recordFirstHand(new LeavingNotice(server, sign, clocks.millis(), true));
   }
 
   /**
    * Records a first-hand sign that a server is not leaving, or no longer; returns whether peers
    * should be informed.
    */
-  public boolean markReturned(String server, Sign sign) {
-    LeavingMark known = marks.get(new Key(server, sign));
+  public boolean markReturned(String server, Source sign) {
+    LeavingNotice known = marks.get(new Key(server, sign));
     return known != null
         && known.leaving()
-        && recordFirstHand(new LeavingMark(server, sign, clocks.millis(), false));
+        && recordFirstHand(new LeavingNotice(server, sign, clocks.millis(), false));
   }
 
   /**
    * Merges a mark from a peer; returns whether it changes whether the server is leaving by its kind
    * of sign.
    */
-  public boolean merge(LeavingMark mark) {
+  public boolean merge(LeavingNotice mark) {
     if (expired(mark)) {
       return false;
     }
-    LeavingMark[] before = new LeavingMark[1];
-    LeavingMark after =
+    LeavingNotice[] before = new LeavingNotice[1];
+    LeavingNotice after =
         marks.merge(
-            new Key(mark.server(), mark.sign()),
+            new Key(mark.server(), mark.source()),
             mark,
             (old, fresh) -> {
               before[0] = old;
@@ -79,8 +79,8 @@
     if (marks.isEmpty()) {
       return false;
     }
-    for (Sign sign : Sign.values()) {
-      LeavingMark mark = marks.get(new Key(server, sign));
+    for (Source sign : Source.values()) {
+      LeavingNotice mark = marks.get(new Key(server, sign));
       if (mark != null && mark.leaving() && !expired(mark)) {
         return true;
       }
@@ -89,23 +89,23 @@
   }
 
   /** Returns the servers that are leaving by one kind of sign. */
-  public List<String> leavingBy(Sign sign) {
+  public List<String> leavingBy(Source sign) {
     return marks.values().stream()
-        .filter(mark -> mark.sign() == sign && mark.leaving() && !expired(mark))
-        .map(LeavingMark::server)
+        .filter(mark -> mark.source() == sign && mark.leaving() && !expired(mark))
+        .map(LeavingNotice::server)
         .toList();
   }
 
   /** Returns the most recent marks, as many as fit into a message. */
-  public List<LeavingMark> recent() {
+  public List<LeavingNotice> recent() {
     marks.values().removeIf(this::expired);
-    List<LeavingMark> recent = new ArrayList<>(marks.values());
-    recent.sort(Comparator.comparingLong(LeavingMark::atMillis).reversed());
+    List<LeavingNotice> recent = new ArrayList<>(marks.values());
+    recent.sort(Comparator.comparingLong(LeavingNotice::atMillis).reversed());
     return recent.subList(0, Math.min(MAX_MARKS_PER_MESSAGE, recent.size()));
   }
 
-  private boolean recordFirstHand(LeavingMark mark) {
-    LeavingMark known = marks.get(new Key(mark.server(), mark.sign()));
+  private boolean recordFirstHand(LeavingNotice mark) {
+    LeavingNotice known = marks.get(new Key(mark.server(), mark.source()));
     boolean renewed =
         known != null
             && known.leaving() == mark.leaving()
@@ -113,7 +113,7 @@
     return !renewed && merge(mark);
   }
 
-  private boolean expired(LeavingMark mark) {
+  private boolean expired(LeavingNotice mark) {
     return clocks.millis() - mark.atMillis() >= MARK_LIFETIME_MILLIS;
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/Prober.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Prober.java
@@ -11,7 +11,7 @@
 import org.apache.hc.core5.http.message.BasicClassicHttpRequest;
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.core.connection.BackendConnection;
-import org.magnoliaswitch.core.peer.LeavingMark;
+import org.magnoliaswitch.core.peer.LeavingNotice;
 import org.magnoliaswitch.core.version.MeasuringBudget;
 import org.magnoliaswitch.core.version.ServerState;
 
@@ -97,13 +97,13 @@
   private void probe(ServiceState service, ServerHandle handle) {
     probesSent.incrementAndGet();
     try {
-      BackendConnection connection = handle.pool().take(Long.MAX_VALUE, TIMEOUT_MILLIS);
+      BackendConnection connection = handle.pool().acquire(Long.MAX_VALUE, TIMEOUT_MILLIS);
       boolean complete = false;
       try {
         complete = exchange(service, handle, connection);
       } finally {
         if (complete) {
-          handle.pool().giveBack(connection);
+          handle.pool().release(connection);
         } else {
           handle.pool().discard(connection);
         }
@@ -115,7 +115,7 @@
 
   private boolean exchange(ServiceState service, ServerHandle handle, BackendConnection connection)
       throws IOException, HttpException {
-    connection.readTimeout(TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS));
+    connection.setReadTimeout(TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS));
     BasicClassicHttpRequest request = new BasicClassicHttpRequest("GET", LOAD_PATH);
     request.setHeader("Host", handle.server().host() + ':' + handle.server().port());
     connection.send(request);
@@ -135,8 +135,8 @@
     handle.load().recordReport(report, clocks.nanos());
     boolean changed =
         report.draining()
-            ? leaving.markLeaving(handle.id(), LeavingMark.Sign.REPORT)
-            : leaving.markReturned(handle.id(), LeavingMark.Sign.REPORT);
+            ? leaving.markLeaving(handle.id(), LeavingNotice.Source.REPORT)
+            : leaving.markReturned(handle.id(), LeavingNotice.Source.REPORT);
     if (changed) {
       timeline.record(
           EventKind.SERVER_LEAVING,
