--- a/bench/src/main/java/org/magnoliaswitch/bench/LoadMain.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/LoadMain.java
@@ -98,7 +98,8 @@
     List<Problem> problems = new ArrayList<>();
     Path file = Path.of(options.valueOf(scenario));
     var read =
-        SnapshotParser.read(file.toString(), Files.readAllBytes(file), Scenario.class, problems);
+        SnapshotParser.readDocument(
+            file.toString(), Files.readAllBytes(file), Scenario.class, problems);
     if (read.isEmpty()) {
       return fail(USAGE, problems.getFirst().toString());
     }
--- a/core/src/main/java/org/magnoliaswitch/core/version/SnapshotParser.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/SnapshotParser.java
@@ -39,16 +39,16 @@
     for (Map.Entry<String, byte[]> part : new TreeMap<>(parts).entrySet()) {
       String path = part.getKey();
       if (path.startsWith(PROFILES)) {
-        read(path, part.getValue(), Profile.class, problems)
+        readDocument(path, part.getValue(), Profile.class, problems)
             .ifPresent(profile -> addProfile(path, profile, profiles, problems));
       } else if (path.startsWith(SERVICES)) {
-        read(path, part.getValue(), Service.class, problems)
+        readDocument(path, part.getValue(), Service.class, problems)
             .ifPresent(service -> addService(path, service, services, problems));
       } else {
         problems.add(new Problem(path, "this file", "profiles/*.json or services/*.json"));
       }
     }
-    problems.addAll(SnapshotChecks.across(profiles, services));
+    problems.addAll(SnapshotValidator.across(profiles, services));
     if (!problems.isEmpty()) {
       throw new InvalidDeclarationException(problems);
     }
@@ -56,10 +56,10 @@
   }
 
   /** Reads one strict JSON document; a fault is noted with its JSON path. */
-  public static <T> Optional<T> read(
+  public static <T> Optional<T> readDocument(
       String file, byte[] content, Class<T> type, List<Problem> problems) {
     try {
-      refuseUnknown(content, type);
+      rejectUnknownProperties(content, type);
       return Optional.of(Json.MAPPER.readValue(content, type));
     } catch (UnrecognizedPropertyException e) {
       problems.add(
@@ -82,7 +82,7 @@
   }
 
   /** A mistyped name is reported as such, and not as the missing property it was meant to be. */
-  private static void refuseUnknown(byte[] content, Class<?> type) throws IOException {
+  private static void rejectUnknownProperties(byte[] content, Class<?> type) throws IOException {
     try {
       Object unused = LENIENT.readValue(content, type);
     } catch (UnrecognizedPropertyException e) {
@@ -95,7 +95,7 @@
 
   private static void addProfile(
       String path, Profile profile, Map<String, Profile> profiles, List<Problem> problems) {
-    problems.addAll(SnapshotChecks.profile(path, profile));
+    problems.addAll(SnapshotValidator.profile(path, profile));
     if (profiles.put(profile.name(), profile) != null) {
       problems.add(new Problem(path + ": name", profile.name(), "a name used once"));
     }
@@ -103,7 +103,7 @@
 
   private static void addService(
       String path, Service service, Map<String, Service> services, List<Problem> problems) {
-    problems.addAll(SnapshotChecks.service(path, service));
+    problems.addAll(SnapshotValidator.service(path, service));
     if (services.put(service.name(), service) != null) {
       problems.add(new Problem(path + ": name", service.name(), "a name used once"));
     }
--- a/entry/src/main/java/org/magnoliaswitch/entry/EntrySettings.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/EntrySettings.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.Optional;
 import org.magnoliaswitch.core.peer.Address;
-import org.magnoliaswitch.core.version.Checks;
 import org.magnoliaswitch.core.version.InvalidDeclarationException;
 import org.magnoliaswitch.core.version.Problem;
 import org.magnoliaswitch.core.version.SnapshotParser;
+import org.magnoliaswitch.core.version.Validator;
 
 /**
  * Settings of one entry process, read once at its start.
@@ -67,7 +67,7 @@
       throws InvalidDeclarationException {
     List<Problem> problems = new ArrayList<>();
     Optional<EntrySettings> settings =
-        SnapshotParser.read(file, content, EntrySettings.class, problems);
+        SnapshotParser.readDocument(file, content, EntrySettings.class, problems);
     settings.ifPresent(read -> problems.addAll(read.check(file)));
     if (!problems.isEmpty() || settings.isEmpty()) {
       throw new InvalidDeclarationException(problems);
@@ -81,26 +81,26 @@
   }
 
   private List<Problem> check(String file) {
-    Checks checks = new Checks(file);
-    checks.text("instance", instance, NAME);
-    checks.text("dataCentre", dataCentre, NAME);
-    checks.text("host", host, IP);
-    checks.range("callerPort", callerPort, 1, MAX_PORT);
-    checks.range("operatorPort", operatorPort, 1, MAX_PORT);
-    checks.range("peerPort", peerPort, 1, MAX_PORT);
-    checks.holds(
+    Validator validator = new Validator(file);
+    validator.requireMatch("instance", instance, NAME);
+    validator.requireMatch("dataCentre", dataCentre, NAME);
+    validator.requireMatch("host", host, IP);
+    validator.requireRange("callerPort", callerPort, 1, MAX_PORT);
+    validator.requireRange("operatorPort", operatorPort, 1, MAX_PORT);
+    validator.requireRange("peerPort", peerPort, 1, MAX_PORT);
+    validator.require(
         callerPort != operatorPort && operatorPort != peerPort && callerPort != peerPort,
         "callerPort, operatorPort, peerPort",
         "a port used twice",
         "three different ports");
     for (int i = 0; i < seeds.size(); i++) {
-      checks.text("seeds[" + i + "]", seeds.get(i), HOST_PORT);
+      validator.requireMatch("seeds[" + i + "]", seeds.get(i), HOST_PORT);
     }
-    checks.text("platform", platform, "https?://.+");
-    checks.range("platformTimeoutMillis", platformTimeoutMillis, 10, 60_000);
-    checks.range("stopUnreadyMillis", stopUnreadyMillis, 0, MAX_STOP_MILLIS);
-    checks.range("stopLimitMillis", stopLimitMillis, 100, MAX_STOP_MILLIS);
-    return checks.problems();
+    validator.requireMatch("platform", platform, "https?://.+");
+    validator.requireRange("platformTimeoutMillis", platformTimeoutMillis, 10, 60_000);
+    validator.requireRange("stopUnreadyMillis", stopUnreadyMillis, 0, MAX_STOP_MILLIS);
+    validator.requireRange("stopLimitMillis", stopLimitMillis, 100, MAX_STOP_MILLIS);
+    return validator.problems();
   }
 
   private static Address address(String text) {
--- a/standins/src/main/java/org/magnoliaswitch/standins/StandinMain.java
+++ b/standins/src/main/java/org/magnoliaswitch/standins/StandinMain.java
@@ -119,7 +119,7 @@
     List<Problem> problems = new ArrayList<>();
     try (Stream<Path> files = Files.list(directory.resolve("services"))) {
       for (Path file : files.sorted().toList()) {
-        SnapshotParser.read(file.toString(), Files.readAllBytes(file), Service.class, problems)
+        SnapshotParser.readDocument(file.toString(), Files.readAllBytes(file), Service.class, problems)
             .ifPresent(service -> servers.addAll(service.servers()));
       }
     }
