--- a/bench/src/main/java/org/magnoliaswitch/bench/scale/LargeDeclarations.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/scale/LargeDeclarations.java
@@ -10,7 +10,7 @@
 import org.magnoliaswitch.core.version.Execution;
 import org.magnoliaswitch.core.version.Json;
 import org.magnoliaswitch.core.version.KeyPolicy;
-import org.magnoliaswitch.core.version.MeasuringBudget;
+import org.magnoliaswitch.core.version.ProbeBudget;
 import org.magnoliaswitch.core.version.Profile;
 import org.magnoliaswitch.core.version.RequestKind;
 import org.magnoliaswitch.core.version.RetryPolicy;
@@ -57,7 +57,7 @@
     return new Profile(
         "standard",
         new RoutingPolicy.FreshLoad(5, 60, 2),
-        new MeasuringBudget(0.1, 10_000),
+        new ProbeBudget(0.1, 10_000),
         new AdmissionPolicy(1.5, 200, true),
         new RetryPolicy(0.1, 3, true, 0.95),
         new KeyPolicy(true, 900, 30, true),
--- a/core/src/main/java/org/magnoliaswitch/core/process/Prober.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Prober.java
@@ -12,7 +12,7 @@
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.core.connection.BackendConnection;
 import org.magnoliaswitch.core.peer.LeavingMark;
-import org.magnoliaswitch.core.version.MeasuringBudget;
+import org.magnoliaswitch.core.version.ProbeBudget;
 import org.magnoliaswitch.core.version.ServerState;
 
 /**
@@ -55,7 +55,7 @@
     int instances = membership.size();
     Collection<ServiceState> services = registry.state().services().values();
     for (ServiceState service : services) {
-      MeasuringBudget budget = service.profile().measuring();
+      ProbeBudget budget = service.profile().measuring();
       long window = windowNanos(budget, instances);
       for (ServerHandle handle : service.servers()) {
         long now = clocks.nanos();
@@ -72,9 +72,9 @@
   }
 
   /** Least time between two probes of one server by this instance. */
-  static long windowNanos(MeasuringBudget budget, int instances) {
+  static long windowNanos(ProbeBudget budget, int instances) {
     double factor = Math.max(1.0, (double) instances / budget.maxInstances());
-    return (long) (TimeUnit.MILLISECONDS.toNanos(budget.windowMillis()) * factor);
+    return (long) (TimeUnit.MILLISECONDS.toNanos(budget.minIntervalMillis()) * factor);
   }
 
   /** A server that is full or has asked for a pause gets no probe: that would take capacity. */
--- a/core/src/main/java/org/magnoliaswitch/core/version/Profile.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/Profile.java
@@ -18,7 +18,7 @@
 public record Profile(
     String name,
     RoutingPolicy routing,
-    MeasuringBudget measuring,
+    ProbeBudget measuring,
     AdmissionPolicy admission,
     RetryPolicy retry,
     KeyPolicy keys,
--- a/core/src/test/java/org/magnoliaswitch/core/process/ProberTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/ProberTest.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import org.magnoliaswitch.core.testing.Declarations;
 import org.magnoliaswitch.core.testing.ManualClock;
-import org.magnoliaswitch.core.version.MeasuringBudget;
+import org.magnoliaswitch.core.version.ProbeBudget;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -29,7 +29,7 @@
    */
   @Test(dataProvider = "instances")
   public void staysWithinBudgetWhateverInstancesKnow(int alive, int known) {
-    MeasuringBudget budget = new MeasuringBudget(5, 40);
+    ProbeBudget budget = new ProbeBudget(5, 40);
     ManualClock time = new ManualClock();
     List<ServerLoad> loads = new ArrayList<>();
     for (int i = 0; i < alive; i++) {
@@ -44,8 +44,8 @@
         probes.add(time.read());
       }
     }
-    long window = Duration.ofMillis(budget.windowMillis()).toNanos();
-    double allowed = budget.probesPerSecond() * budget.windowMillis() / 1_000.0;
+    long window = Duration.ofMillis(budget.minIntervalMillis()).toNanos();
+    double allowed = budget.probesPerSecond() * budget.minIntervalMillis() / 1_000.0;
     for (long start : probes) {
       long inside = probes.stream().filter(p -> p >= start && p < start + window).count();
       assertTrue(inside <= allowed, inside + " probes, allowed " + allowed);
@@ -54,7 +54,7 @@
 
   @Test
   public void moreInstancesThanDeclaredSlowEachOneDown() {
-    MeasuringBudget budget = new MeasuringBudget(5, 40);
+    ProbeBudget budget = new ProbeBudget(5, 40);
     assertEquals(Prober.windowNanos(budget, 80), 2 * Prober.windowNanos(budget, 40));
   }
 }
--- a/core/src/test/java/org/magnoliaswitch/core/testing/Declarations.java
+++ b/core/src/test/java/org/magnoliaswitch/core/testing/Declarations.java
@@ -10,7 +10,7 @@
 import org.magnoliaswitch.core.version.Execution;
 import org.magnoliaswitch.core.version.Json;
 import org.magnoliaswitch.core.version.KeyPolicy;
-import org.magnoliaswitch.core.version.MeasuringBudget;
+import org.magnoliaswitch.core.version.ProbeBudget;
 import org.magnoliaswitch.core.version.Profile;
 import org.magnoliaswitch.core.version.RequestKind;
 import org.magnoliaswitch.core.version.RetryPolicy;
@@ -38,7 +38,7 @@
     return new Profile(
         "standard",
         FRESH,
-        new MeasuringBudget(5, 40),
+        new ProbeBudget(5, 40),
         new AdmissionPolicy(1.5, 100, true),
         new RetryPolicy(0.1, 3, false, 0.95),
         new KeyPolicy(true, 900, 5, true),
