--- a/bench/src/main/java/org/magnoliaswitch/bench/scale/Fleet.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/scale/Fleet.java
@@ -92,7 +92,7 @@
   long change(int at, long base, Map<String, String> parts) throws IOException {
     ChangeReply reply =
         new ChangeService(instances.get(at))
-            .change(new ChangeRequest(base, "c" + base, "scale", "", new HashMap<>(parts)));
+            .submit(new ChangeRequest(base, "c" + base, "scale", "", new HashMap<>(parts)));
     if (reply.status() != ChangeReply.Status.ACCEPTED) {
       throw new IOException(reply.toString());
     }
--- a/core/src/main/java/org/magnoliaswitch/core/operator/ChangeService.java
+++ b/core/src/main/java/org/magnoliaswitch/core/operator/ChangeService.java
@@ -29,7 +29,7 @@
   }
 
   /** Serves a change; accepted is said only after the platform confirmed the transaction. */
-  public ChangeReply change(ChangeRequest request) {
+  public ChangeReply submit(ChangeRequest request) {
     Map<String, byte[]> parts = new TreeMap<>();
     request.parts().forEach((path, text) -> parts.put(path, text.getBytes(StandardCharsets.UTF_8)));
     try {
@@ -94,7 +94,7 @@
   private ChangeReply raced(ChangeRequest request, ConfigurationStore.Head current) {
     List<String> changed;
     try {
-      Map<String, byte[]> now = bytes(stored(current.manifest()).parts());
+      Map<String, byte[]> now = bytes(loadStored(current.manifest()).parts());
       Map<String, byte[]> wanted = bytes(request.parts());
       changed = ConfigurationDiff.lines(now, wanted);
     } catch (IOException | PlatformException e) {
@@ -104,7 +104,7 @@
   }
 
   /** A version whose contents are held here. */
-  public VersionView view(String digest) throws IOException {
+  public VersionView loadHeld(String digest) throws IOException {
     try {
       return load(digest, d -> control.cache().get(d));
     } catch (PlatformException e) {
@@ -113,7 +113,7 @@
   }
 
   /** A version from the store. */
-  public VersionView stored(String digest) throws IOException, PlatformException {
+  public VersionView loadStored(String digest) throws IOException, PlatformException {
     return load(digest, control.store()::content);
   }
 
--- a/core/src/main/java/org/magnoliaswitch/core/platform/HttpPlatform.java
+++ b/core/src/main/java/org/magnoliaswitch/core/platform/HttpPlatform.java
@@ -102,10 +102,10 @@
   }
 
   @Override
-  public List<Listed> list() throws PlatformException {
+  public List<ListedMachine> list() throws PlatformException {
     byte[] body = expectOk(call(new HttpGet(base.resolve("/instances"))));
     try {
-      return Json.MAPPER.readValue(body, new TypeReference<List<Listed>>() {});
+      return Json.MAPPER.readValue(body, new TypeReference<List<ListedMachine>>() {});
     } catch (IOException e) {
       throw new PlatformException("unreadable instance list", e);
     }
--- a/core/src/main/java/org/magnoliaswitch/core/platform/InstanceList.java
+++ b/core/src/main/java/org/magnoliaswitch/core/platform/InstanceList.java
@@ -5,8 +5,8 @@
 /** The platform's lagging list of live and leaving machines. */
 public interface InstanceList {
   /** One listed machine: entry instance or backend server. */
-  record Listed(String id, boolean leaving) {}
+  record ListedMachine(String id, boolean leaving) {}
 
   /** The list as the platform now shows it. */
-  List<Listed> list() throws PlatformException;
+  List<ListedMachine> list() throws PlatformException;
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/ControlPlane.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ControlPlane.java
@@ -197,12 +197,12 @@
     }
   }
 
-  private void takeList(List<InstanceList.Listed> listed) {
+  private void takeList(List<InstanceList.ListedMachine> listed) {
     LeavingServers leaving = state.leaving();
     Set<String> leavingNow =
         listed.stream()
-            .filter(InstanceList.Listed::leaving)
-            .map(InstanceList.Listed::id)
+            .filter(InstanceList.ListedMachine::leaving)
+            .map(InstanceList.ListedMachine::id)
             .collect(Collectors.toSet());
     boolean news = false;
     for (String id : leavingNow) {
--- a/core/src/test/java/org/magnoliaswitch/core/operator/SpreadTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/operator/SpreadTest.java
@@ -172,7 +172,7 @@
     Map<String, String> parts = new TreeMap<>();
     Declarations.parts(Declarations.profile(), Declarations.service(port))
         .forEach((path, content) -> parts.put(path, new String(content, StandardCharsets.UTF_8)));
-    return new ChangeService(at).change(new ChangeRequest(base, id, "test", "", parts));
+    return new ChangeService(at).submit(new ChangeRequest(base, id, "test", "", parts));
   }
 
   private static long version(ControlPlane instance) {
--- a/entry/src/main/java/org/magnoliaswitch/entry/ConfigurationResource.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/ConfigurationResource.java
@@ -40,7 +40,7 @@
     String digest = control.state().version().get().digest();
     return digest.isEmpty()
         ? new VersionView(0, "", "", "", new TreeMap<>())
-        : changes.view(digest);
+        : changes.loadHeld(digest);
   }
 
   /** The latest accepted versions, newest first. */
@@ -55,7 +55,7 @@
   @Path("manifests/{digest}")
   public VersionView accepted(@PathParam("digest") String digest)
       throws IOException, PlatformException {
-    return changes.stored(digest);
+    return changes.loadStored(digest);
   }
 
   /** Asks for a change. */
@@ -63,6 +63,6 @@
   @Path("changes")
   @Consumes(MediaType.APPLICATION_JSON)
   public ChangeReply change(ChangeRequest request) {
-    return changes.change(request);
+    return changes.submit(request);
   }
 }
--- a/entry/src/test/java/org/magnoliaswitch/entry/RunningEntry.java
+++ b/entry/src/test/java/org/magnoliaswitch/entry/RunningEntry.java
@@ -78,7 +78,7 @@
     parts.put("services/booking.json", Json.MAPPER.writeValueAsString(service));
     parts.put("profiles/bookings.json", profile());
     ChangeReply reply =
-        new ChangeService(control).change(new ChangeRequest(0, "first", "test", "", parts));
+        new ChangeService(control).submit(new ChangeRequest(0, "first", "test", "", parts));
     if (reply.status() != ChangeReply.Status.ACCEPTED) {
       throw new IllegalStateException(reply.toString());
     }
--- a/standins/src/main/java/org/magnoliaswitch/standins/PlatformStandin.java
+++ b/standins/src/main/java/org/magnoliaswitch/standins/PlatformStandin.java
@@ -38,7 +38,7 @@
   /** Counts for the experiments. */
   record Counts(long transactions, long rowWrites, long objectWrites, long reads) {}
 
-  private record ListedSince(List<InstanceList.Listed> list, long sinceMillis) {}
+  private record ListedSince(List<InstanceList.ListedMachine> list, long sinceMillis) {}
 
   private final Server server;
   private final ServerConnector connector;
@@ -207,7 +207,7 @@
         Backends.reply(response, callback, OK, "set\n");
       }
       case "/standin/instances" -> {
-        List<InstanceList.Listed> list =
+        List<InstanceList.ListedMachine> list =
             Json.MAPPER.readValue(body(request), new TypeReference<>() {});
         lists.addLast(new ListedSince(list, clocks.millis()));
         Backends.reply(response, callback, OK, "set\n");
@@ -216,9 +216,9 @@
     }
   }
 
-  private List<InstanceList.Listed> shownList() {
+  private List<InstanceList.ListedMachine> shownList() {
     long shown = clocks.millis() - faults.listLagMillis();
-    List<InstanceList.Listed> latest = List.of();
+    List<InstanceList.ListedMachine> latest = List.of();
     for (ListedSince list : lists) {
       if (list.sinceMillis() <= shown) {
         latest = list.list();
