--- a/core/src/test/java/org/magnoliaswitch/core/operator/SpreadTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/operator/SpreadTest.java
@@ -62,7 +62,7 @@
     change(0, "first", 8001);
     await(() -> instances.stream().allMatch(i -> version(i) == 1));
     change(1, "second", 8002);
-    platform.down(true);
+    platform.setUnavailable(true);
     await(() -> instances.stream().allMatch(i -> version(i) == 2));
   }
 
@@ -76,7 +76,7 @@
     change(0, "first", 8001);
     change(0, "second", 8002);
     await(() -> instances.stream().allMatch(i -> version(i) == 2));
-    platform.down(true);
+    platform.setUnavailable(true);
     start(1);
     await(() -> instances.getLast().ready());
     assertEquals(version(instances.getLast()), 2);
@@ -84,7 +84,7 @@
 
   @Test
   public void anInstanceWithNeitherStoreNorPeersIsNotReady() throws Exception {
-    platform.down(true);
+    platform.setUnavailable(true);
     start(1);
     instances.getFirst().catchUp();
     assertFalse(instances.getFirst().ready());
@@ -93,7 +93,7 @@
   @Test
   public void anOperatorsWordSpreadsWithoutTheStore() throws Exception {
     start(4);
-    platform.down(true);
+    platform.setUnavailable(true);
     await(() -> instances.stream().allMatch(i -> i.state().membership().size() == 4));
     instances.getFirst().state().leaving().noticed("server-1", LeavingMark.Sign.OPERATOR);
     instances.getFirst().gossip().pushNews();
@@ -108,7 +108,7 @@
   public void endsOfServersAreKnownEverywhere() throws Exception {
     RequestIdentity request = new RequestIdentity(1, 2);
     start(4);
-    platform.down(true);
+    platform.setUnavailable(true);
     await(() -> instances.stream().allMatch(i -> i.state().membership().size() == 4));
     for (int i = 0; i < 3; i++) {
       instances.get(i).state().crashes().ended(List.of(request), "server-" + i, i == 2);
--- a/core/src/test/java/org/magnoliaswitch/core/process/ClaimBatcherTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/ClaimBatcherTest.java
@@ -31,13 +31,13 @@
       {Fault.NONE, Status.GRANTED},
       {Fault.ANSWER_LOST, Status.GRANTED},
       {Fault.DROPPED, Status.UNAVAILABLE},
-      {Fault.LANDS_LATE, Status.UNAVAILABLE},
+      {Fault.DELAYED, Status.UNAVAILABLE},
     };
   }
 
   @Test(dataProvider = "faults")
   public void tellsWhatItKnows(Fault fault, Status expected) {
-    platform.next(fault);
+    platform.queueFaults(fault);
     assertEquals(claim("k", "a").status(), expected);
   }
 
@@ -48,19 +48,19 @@
    */
   @Test
   public void aClaimThatLandsLateStillBelongsToItsHolder() {
-    platform.next(Fault.LANDS_LATE);
+    platform.queueFaults(Fault.DELAYED);
     claim("k", "a");
-    platform.landLateWrites();
+    platform.applyDelayedWrites();
     assertEquals(claim("k", "b").holder(), "a");
     assertEquals(claim("k", "a").status(), Status.GRANTED);
   }
 
   @Test
   public void aClaimThatLandsLateCannotTakeAKeyFromAnother() {
-    platform.next(Fault.LANDS_LATE);
+    platform.queueFaults(Fault.DELAYED);
     claim("k", "a");
     claim("k", "b");
-    platform.landLateWrites();
+    platform.applyDelayedWrites();
     assertEquals(claim("k", "a").holder(), "b");
   }
 
--- a/core/src/test/java/org/magnoliaswitch/core/process/ConfigurationStoreTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/ConfigurationStoreTest.java
@@ -34,13 +34,13 @@
       {Fault.NONE, "accepted"},
       {Fault.ANSWER_LOST, "accepted"},
       {Fault.DROPPED, "undecided"},
-      {Fault.LANDS_LATE, "undecided"},
+      {Fault.DELAYED, "undecided"},
     };
   }
 
   @Test(dataProvider = "faults")
   public void tellsWhatItKnows(Fault fault, String expected) {
-    platform.next(fault);
+    platform.queueFaults(fault);
     assertEquals(name(accept(1, "change")), expected);
   }
 
@@ -50,18 +50,18 @@
    */
   @Test
   public void repeatingAChangeThatLandedLateIsHarmless() {
-    platform.next(Fault.LANDS_LATE);
+    platform.queueFaults(Fault.DELAYED);
     accept(1, "change");
-    platform.landLateWrites();
+    platform.applyDelayedWrites();
     assertEquals(accept(1, "change"), new Acceptance.Accepted(head(1, "change"), true));
   }
 
   @Test
   public void aWriteThatLandsLateCannotDisplaceAnotherChange() throws Exception {
-    platform.next(Fault.LANDS_LATE);
+    platform.queueFaults(Fault.DELAYED);
     accept(1, "slow");
     accept(1, "quick");
-    platform.landLateWrites();
+    platform.applyDelayedWrites();
     assertEquals(store.head(), head(1, "quick"));
   }
 
@@ -82,7 +82,7 @@
       SplittableRandom random = new SplittableRandom(seed);
       Map<String, Long> told = new HashMap<>();
       for (int step = 0; step < 60; step++) {
-        platform.nextRandom(random);
+        platform.queueRandomFault(random);
         String change = "c" + random.nextInt(12);
         long base = random.nextInt(3) == 0 ? random.nextInt(6) : store.head().version();
         if (accept(base + 1, change) instanceof Acceptance.Accepted accepted) {
@@ -90,7 +90,7 @@
           assertTrue(before == null || before == accepted.head().version(), "seed " + seed);
         }
         if (random.nextInt(4) == 0) {
-          platform.landLateWrites();
+          platform.applyDelayedWrites();
         }
       }
       assertEquals(told.values().stream().distinct().count(), told.size(), "seed " + seed);
--- a/core/src/test/java/org/magnoliaswitch/core/process/OutcomeLedgerTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/OutcomeLedgerTest.java
@@ -97,10 +97,10 @@
     OutcomeRecords records = new OutcomeRecords(platform, "i", time.clocks());
     begin("k", "f");
     ledger.finish("k", EXECUTED);
-    platform.down(true);
+    platform.setUnavailable(true);
     org.testng.Assert.assertThrows(
         org.magnoliaswitch.core.platform.PlatformException.class, () -> records.flush(ledger));
-    platform.down(false);
+    platform.setUnavailable(false);
     assertEquals(records.flush(ledger), 1);
   }
 
--- a/core/src/test/java/org/magnoliaswitch/core/request/DispatcherTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/request/DispatcherTest.java
@@ -24,8 +24,8 @@
 import org.magnoliaswitch.core.process.ServiceState;
 import org.magnoliaswitch.core.process.Timeline;
 import org.magnoliaswitch.core.testing.Declarations;
-import org.magnoliaswitch.core.testing.RawServer;
-import org.magnoliaswitch.core.testing.RawServer.Answer;
+import org.magnoliaswitch.core.testing.ScriptedServer;
+import org.magnoliaswitch.core.testing.ScriptedServer.Action;
 import org.magnoliaswitch.core.version.Profile;
 import org.magnoliaswitch.core.version.RequestKind;
 import org.magnoliaswitch.core.version.RetryPolicy;
@@ -40,14 +40,14 @@
   private static final String CHUNKED =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n";
   private static final String REFUSED = "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n";
-  private static final Answer CUT =
-      new Answer.SendAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nwhole");
-  private static final Answer CUT_CHUNKS =
-      new Answer.SendAndClose(
+  private static final Action CUT =
+      new Action.SendAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nwhole");
+  private static final Action CUT_CHUNKS =
+      new Action.SendAndClose(
           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n");
-  private static final Answer UNTIL_CLOSE = new Answer.SendAndClose("HTTP/1.1 200 OK\r\n\r\nwhole");
-  private static final Answer CLOSED = new Answer.SendAndClose("");
-  private static final Answer GARBAGE = new Answer.SendAndClose("\0\0 nonsense\r\n\r\n");
+  private static final Action UNTIL_CLOSE = new Action.SendAndClose("HTTP/1.1 200 OK\r\n\r\nwhole");
+  private static final Action CLOSED = new Action.SendAndClose("");
+  private static final Action GARBAGE = new Action.SendAndClose("\0\0 nonsense\r\n\r\n");
 
   /** Servers that end under a request. */
   public static final class ServersThatEnd {
@@ -72,7 +72,7 @@
     }
 
     private static void assertTurnedAway(RequestKind kind) throws Exception {
-      try (Bench bench = new Bench(TRIES + 2, n -> new Answer.End())) {
+      try (Bench bench = new Bench(TRIES + 2, n -> new Action.Crash())) {
         Outcome last = Outcome.UNKNOWN;
         for (int i = 0; i < TRIES; i++) {
           int before = bench.requests();
@@ -93,26 +93,26 @@
       RequestKind read = Declarations.READ;
       RequestKind book = Declarations.BOOK;
       return new Object[][] {
-        {read, new Answer.Send(WHOLE), 200, Outcome.EXECUTED, 1},
-        {read, new Answer.Send(CHUNKED), 200, Outcome.EXECUTED, 1},
+        {read, new Action.Send(WHOLE), 200, Outcome.EXECUTED, 1},
+        {read, new Action.Send(CHUNKED), 200, Outcome.EXECUTED, 1},
         {read, CUT, 502, Outcome.UNKNOWN, 1},
         {read, CUT_CHUNKS, 502, Outcome.UNKNOWN, 1},
         {read, UNTIL_CLOSE, 502, Outcome.UNKNOWN, 1},
         {read, CLOSED, 502, Outcome.UNKNOWN, 1},
         {read, GARBAGE, 502, Outcome.UNKNOWN, 1},
-        {read, new Answer.Send(REFUSED), 503, Outcome.NOT_EXECUTED, 1},
-        {read, new Answer.Silence(), 504, Outcome.UNKNOWN, 1},
-        {book, new Answer.Send(WHOLE), 200, Outcome.EXECUTED, 1},
+        {read, new Action.Send(REFUSED), 503, Outcome.NOT_EXECUTED, 1},
+        {read, new Action.Hang(), 504, Outcome.UNKNOWN, 1},
+        {book, new Action.Send(WHOLE), 200, Outcome.EXECUTED, 1},
         {book, CUT, 502, Outcome.UNKNOWN, 1},
         {book, CLOSED, 502, Outcome.UNKNOWN, 1},
-        {book, new Answer.Send(REFUSED), 503, Outcome.NOT_EXECUTED, 1},
-        {book, new Answer.Silence(), 504, Outcome.UNKNOWN, 1},
+        {book, new Action.Send(REFUSED), 503, Outcome.NOT_EXECUTED, 1},
+        {book, new Action.Hang(), 504, Outcome.UNKNOWN, 1},
       };
     }
 
     @Test(dataProvider = "faults")
     public void tellsTheTruth(
-        RequestKind kind, Answer answer, int status, Outcome outcome, int requests)
+        RequestKind kind, Action answer, int status, Outcome outcome, int requests)
         throws Exception {
       try (Bench bench = new Bench(1, n -> answer)) {
         Reply reply = bench.send(kind, 150);
@@ -125,8 +125,8 @@
     /** Guards against requests that go on reaching a server that asked for a pause. */
     @Test
     public void aServerThatAsksForAPauseGetsNothingMeanwhile() throws Exception {
-      Answer shed =
-          new Answer.Send("HTTP/1.1 503 Full\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n");
+      Action shed =
+          new Action.Send("HTTP/1.1 503 Full\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n");
       try (Bench bench = new Bench(1, n -> shed)) {
         for (int i = 0; i < 5; i++) {
           assertEquals(bench.send(Declarations.READ, 500).outcome(), Outcome.NOT_EXECUTED);
@@ -153,8 +153,8 @@
       return new Object[][] {
         {Declarations.READ, CUT, 200, 2},
         {Declarations.READ, CLOSED, 200, 2},
-        {Declarations.READ, new Answer.Send(REFUSED), 200, 2},
-        {Declarations.BOOK, new Answer.Send(REFUSED), 200, 2},
+        {Declarations.READ, new Action.Send(REFUSED), 200, 2},
+        {Declarations.BOOK, new Action.Send(REFUSED), 200, 2},
         {Declarations.BOOK, CUT, 502, 1},
         {Declarations.BOOK, CLOSED, 502, 1},
       };
@@ -162,8 +162,8 @@
 
     @Test(dataProvider = "faults")
     public void triesAgainOnlyWhatMayRunTwice(
-        RequestKind kind, Answer first, int status, int requests) throws Exception {
-      try (Bench bench = new Bench(3, n -> n == 0 ? first : new Answer.Send(WHOLE))) {
+        RequestKind kind, Action first, int status, int requests) throws Exception {
+      try (Bench bench = new Bench(3, n -> n == 0 ? first : new Action.Send(WHOLE))) {
         assertEquals(bench.send(kind, 500).status(), status);
         assertEquals(bench.requests(), requests);
       }
@@ -175,7 +175,7 @@
      */
     @Test
     public void aBrokenAttemptBeforeARefusalStaysUnknown() throws Exception {
-      try (Bench bench = new Bench(3, n -> n == 0 ? CUT : new Answer.Send(REFUSED))) {
+      try (Bench bench = new Bench(3, n -> n == 0 ? CUT : new Action.Send(REFUSED))) {
         assertEquals(bench.send(Declarations.READ, 500).outcome(), Outcome.UNKNOWN);
       }
     }
@@ -183,7 +183,7 @@
     /** A retry of an outer layer is not multiplied here: calls go up to seven layers deep. */
     @Test
     public void doesNotRetryWhatAnOuterLayerRetries() throws Exception {
-      try (Bench bench = new Bench(3, n -> new Answer.Send(REFUSED))) {
+      try (Bench bench = new Bench(3, n -> new Action.Send(REFUSED))) {
         bench.send(Declarations.READ, 500, 2);
         assertEquals(bench.requests(), 1);
       }
@@ -194,7 +194,7 @@
     public void aHedgeOvertakesASilentServer() throws Exception {
       RetryPolicy hedging = new RetryPolicy(0.1, 2, true, 0.95);
       try (Bench bench =
-          new Bench(3, n -> n == 0 ? new Answer.Silence() : new Answer.Send(WHOLE), hedging)) {
+          new Bench(3, n -> n == 0 ? new Action.Hang() : new Action.Send(WHOLE), hedging)) {
         assertEquals(bench.send(Declarations.READ, 2_000).status(), 200);
         assertEquals(bench.requests(), 2);
       }
@@ -203,7 +203,7 @@
     /** With every server refusing, attempts beyond the first stay within the budget's reserve. */
     @Test
     public void retriesEndWithTheBudget() throws Exception {
-      try (Bench bench = new Bench(3, n -> new Answer.Send(REFUSED))) {
+      try (Bench bench = new Bench(3, n -> new Action.Send(REFUSED))) {
         for (int i = 0; i < 60; i++) {
           bench.send(Declarations.READ, 500);
         }
@@ -216,7 +216,7 @@
   public static final class Connections {
     @Test
     public void aWholeAnswerKeepsItsConnection() throws Exception {
-      try (Bench bench = new Bench(1, n -> new Answer.Send(WHOLE))) {
+      try (Bench bench = new Bench(1, n -> new Action.Send(WHOLE))) {
         bench.send(Declarations.READ, 500);
         bench.send(Declarations.READ, 500);
         assertEquals(bench.connections(), 1);
@@ -229,8 +229,7 @@
      */
     @Test
     public void aTimedOutExchangeBurnsItsConnection() throws Exception {
-      try (Bench bench =
-          new Bench(1, n -> n == 0 ? new Answer.Silence() : new Answer.Send(WHOLE))) {
+      try (Bench bench = new Bench(1, n -> n == 0 ? new Action.Hang() : new Action.Send(WHOLE))) {
         bench.send(Declarations.READ, 50);
         assertEquals(bench.send(Declarations.READ, 500).status(), 200);
         assertEquals(bench.connections(), 2);
@@ -240,7 +239,7 @@
     @Test
     public void aLargeAnswerIsPassedOnAsAStream() throws Exception {
       String body = "x".repeat(200_000);
-      Answer large = new Answer.Send("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + body);
+      Action large = new Action.Send("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + body);
       try (Bench bench = new Bench(1, n -> large)) {
         Reply.Body.Streaming stream =
             (Reply.Body.Streaming) bench.send(Declarations.READ, 500).body();
@@ -254,8 +253,8 @@
 
     @Test
     public void aLargeAnswerCutShortFailsWhileItIsRead() throws Exception {
-      Answer cut =
-          new Answer.SendAndClose(
+      Action cut =
+          new Action.SendAndClose(
               "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + "x".repeat(200_000));
       try (Bench bench = new Bench(1, n -> cut)) {
         Reply.Body.Streaming stream =
@@ -268,22 +267,22 @@
 
   /** A dispatcher in front of raw servers that share one sequence of answers. */
   private static final class Bench implements AutoCloseable {
-    private final List<RawServer> servers = new ArrayList<>();
+    private final List<ScriptedServer> servers = new ArrayList<>();
     private final Clocks clocks = Clocks.system();
     private final ServiceState service;
     private final Dispatcher dispatcher;
     private final java.util.concurrent.atomic.AtomicInteger order =
         new java.util.concurrent.atomic.AtomicInteger();
 
-    Bench(int count, IntFunction<Answer> answers) throws Exception {
+    Bench(int count, IntFunction<Action> answers) throws Exception {
       this(count, answers, Declarations.profile().retry());
     }
 
-    Bench(int count, IntFunction<Answer> answers, RetryPolicy retry) throws Exception {
+    Bench(int count, IntFunction<Action> answers, RetryPolicy retry) throws Exception {
       for (int i = 0; i < count; i++) {
-        servers.add(new RawServer(n -> answers.apply(order.getAndIncrement())));
+        servers.add(new ScriptedServer(n -> answers.apply(order.getAndIncrement())));
       }
-      int[] ports = servers.stream().mapToInt(RawServer::port).toArray();
+      int[] ports = servers.stream().mapToInt(ScriptedServer::port).toArray();
       this.service = service(ports, retry);
       this.dispatcher = dispatcher();
     }
@@ -348,11 +347,11 @@
     }
 
     int requests() {
-      return servers.stream().mapToInt(RawServer::requests).sum();
+      return servers.stream().mapToInt(ScriptedServer::requests).sum();
     }
 
     int connections() {
-      return servers.stream().mapToInt(RawServer::connections).sum();
+      return servers.stream().mapToInt(ScriptedServer::connections).sum();
     }
 
     int inFlight() {
@@ -361,7 +360,7 @@
 
     @Override
     public void close() throws IOException {
-      for (RawServer server : servers) {
+      for (ScriptedServer server : servers) {
         server.close();
       }
     }
--- a/core/src/test/java/org/magnoliaswitch/core/request/OnceGateModelTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/request/OnceGateModelTest.java
@@ -260,7 +260,7 @@
             return new ClaimResult(ClaimResult.Status.GRANTED, claim.incarnation(), "", 0);
           }
           if (faults.tableFaults()) {
-            platform.nextRandom(scheduler.random());
+            platform.queueRandomFault(scheduler.random());
           }
           ClaimBatcher batcher = new ClaimBatcher(platform);
           CompletableFuture<ClaimResult> result = batcher.add(claim);
@@ -326,7 +326,7 @@
     private void landLate() {
       for (int i = 0; i < 6; i++) {
         scheduler.step();
-        platform.landLateWrites();
+        platform.applyDelayedWrites();
       }
     }
 
--- a/core/src/test/java/org/magnoliaswitch/core/request/ServerChooserTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/request/ServerChooserTest.java
@@ -54,7 +54,8 @@
   public void aFullServerIsAvoided() {
     List<ServerHandle> servers = settled(4);
     servers.get(1).load().reported(new LoadReport(12, 6, false), time.read());
-    assertEquals(choices(Declarations.FRESH, servers).getOrDefault("s1", 0), Integer.valueOf(0));
+    assertEquals(
+        choices(Declarations.FRESH_LOAD, servers).getOrDefault("s1", 0), Integer.valueOf(0));
   }
 
   /**
@@ -70,7 +71,8 @@
       other.load().reported(new LoadReport(5, 6, false), time.read());
     }
     double expected =
-        ServerChooser.expectedRequests(Declarations.FRESH, servers.get(0).load(), 5.0, time.read());
+        ServerChooser.expectedRequests(
+            Declarations.FRESH_LOAD, servers.get(0).load(), 5.0, time.read());
     assertTrue(expected > 4.9, "expected " + expected);
   }
 
@@ -81,7 +83,7 @@
     load.sent();
     load.sent();
     assertEquals(
-        ServerChooser.expectedRequests(Declarations.FRESH, load, 2.0, time.read()), 4.0, 0.01);
+        ServerChooser.expectedRequests(Declarations.FRESH_LOAD, load, 2.0, time.read()), 4.0, 0.01);
   }
 
   @Test
@@ -91,7 +93,8 @@
       servers.get(2).load().sent();
       servers.get(2).load().answered(Duration.ofMillis(200).toNanos(), time.read());
     }
-    assertEquals(choices(Declarations.FRESH, servers).getOrDefault("s2", 0), Integer.valueOf(0));
+    assertEquals(
+        choices(Declarations.FRESH_LOAD, servers).getOrDefault("s2", 0), Integer.valueOf(0));
   }
 
   @Test
@@ -101,18 +104,20 @@
       servers.get(0).load().sent();
       servers.get(0).load().failed();
     }
-    assertEquals(choices(Declarations.FRESH, servers).getOrDefault("s0", 0), Integer.valueOf(0));
+    assertEquals(
+        choices(Declarations.FRESH_LOAD, servers).getOrDefault("s0", 0), Integer.valueOf(0));
   }
 
   @Test
   public void nearServersComeFirstUntilTheyAreWorse() {
     List<ServerHandle> servers = new ArrayList<>(settled(2));
     servers.add(settle(handle("far", "dc-2")));
-    assertEquals(choices(Declarations.FRESH, servers).getOrDefault("far", 0), Integer.valueOf(0));
+    assertEquals(
+        choices(Declarations.FRESH_LOAD, servers).getOrDefault("far", 0), Integer.valueOf(0));
     for (ServerHandle near : servers.subList(0, 2)) {
       near.load().reported(new LoadReport(18, 6, false), time.read());
     }
-    assertEquals(choices(Declarations.FRESH, servers).get("far"), Integer.valueOf(CHOICES));
+    assertEquals(choices(Declarations.FRESH_LOAD, servers).get("far"), Integer.valueOf(CHOICES));
   }
 
   private Map<String, Integer> choices(RoutingPolicy policy, List<ServerHandle> servers) {
--- a/core/src/test/java/org/magnoliaswitch/core/testing/Declarations.java
+++ b/core/src/test/java/org/magnoliaswitch/core/testing/Declarations.java
@@ -29,7 +29,7 @@
       new RequestKind("book", "POST", "/book", Execution.AT_MOST_ONCE, 10, 2_000);
 
   /** The product's own routing policy. */
-  public static final RoutingPolicy.FreshLoad FRESH = new RoutingPolicy.FreshLoad(5, 60, 2);
+  public static final RoutingPolicy.FreshLoad FRESH_LOAD = new RoutingPolicy.FreshLoad(5, 60, 2);
 
   private Declarations() {}
 
@@ -37,7 +37,7 @@
   public static Profile profile() {
     return new Profile(
         "standard",
-        FRESH,
+        FRESH_LOAD,
         new ProbeBudget(5, 40),
         new AdmissionPolicy(1.5, 100, true),
         new RetryPolicy(0.1, 3, false, 0.95),
--- a/core/src/test/java/org/magnoliaswitch/core/testing/FakePlatform.java
+++ b/core/src/test/java/org/magnoliaswitch/core/testing/FakePlatform.java
@@ -25,8 +25,8 @@
     DROPPED,
     /** It takes effect and no answer comes. */
     ANSWER_LOST,
-    /** No answer comes; it takes effect when {@link #landLateWrites} is called. */
-    LANDS_LATE
+    /** No answer comes; it takes effect when {@link #applyDelayedWrites} is called. */
+    DELAYED
   }
 
   private static final List<Fault> FAULTS = List.of(Fault.values());
@@ -34,29 +34,29 @@
   private final TreeMap<String, Row> rows = new TreeMap<>();
   private final Map<String, byte[]> objects = new HashMap<>();
   private final Deque<Fault> faults = new ArrayDeque<>();
-  private final List<List<ConditionalWrite>> late = new ArrayList<>();
-  private boolean down;
+  private final List<List<ConditionalWrite>> delayed = new ArrayList<>();
+  private boolean unavailable;
   private int transactions;
 
   /** Queues faults for the next transactions. */
-  public synchronized void next(Fault... queued) {
+  public synchronized void queueFaults(Fault... queued) {
     faults.addAll(List.of(queued));
   }
 
   /** Queues a random fault for the next transaction. */
-  public synchronized void nextRandom(SplittableRandom random) {
+  public synchronized void queueRandomFault(SplittableRandom random) {
     faults.add(FAULTS.get(random.nextInt(FAULTS.size())));
   }
 
-  /** Takes everything down or up. */
-  public synchronized void down(boolean state) {
-    down = state;
+  /** Makes every call fail, or succeed again. */
+  public synchronized void setUnavailable(boolean state) {
+    unavailable = state;
   }
 
   /** Lets writes that were under way take effect. */
-  public synchronized void landLateWrites() {
-    late.forEach(this::apply);
-    late.clear();
+  public synchronized void applyDelayedWrites() {
+    delayed.forEach(this::apply);
+    delayed.clear();
   }
 
   /** Transactions that took effect or conflicted. */
@@ -66,13 +66,13 @@
 
   @Override
   public synchronized List<Row> read(List<String> keys) throws PlatformException {
-    up();
+    requireAvailable();
     return keys.stream().map(this::row).toList();
   }
 
   @Override
   public synchronized List<Row> scan(String prefix, int limit) throws PlatformException {
-    up();
+    requireAvailable();
     return rows.subMap(prefix, true, prefix + "\uffff", true).descendingMap().values().stream()
         .limit(limit)
         .toList();
@@ -81,12 +81,12 @@
   @Override
   public synchronized TransactionResult transact(List<ConditionalWrite> writes) {
     Fault fault = faults.isEmpty() ? Fault.NONE : faults.poll();
-    if (down || fault == Fault.DROPPED) {
+    if (unavailable || fault == Fault.DROPPED) {
       return new TransactionResult.Unknown("down");
     }
-    if (fault == Fault.LANDS_LATE) {
-      late.add(writes);
-      return new TransactionResult.Unknown("late");
+    if (fault == Fault.DELAYED) {
+      delayed.add(writes);
+      return new TransactionResult.Unknown("delayed");
     }
     TransactionResult result = apply(writes);
     return fault == Fault.ANSWER_LOST ? new TransactionResult.Unknown("lost") : result;
@@ -94,13 +94,13 @@
 
   @Override
   public synchronized Optional<byte[]> get(String name) throws PlatformException {
-    up();
+    requireAvailable();
     return Optional.ofNullable(objects.get(name));
   }
 
   @Override
   public synchronized void put(String name, byte[] content) throws PlatformException {
-    up();
+    requireAvailable();
     objects.put(name, content);
   }
 
@@ -122,8 +122,8 @@
     return rows.getOrDefault(key, new Row(key, 0, ""));
   }
 
-  private void up() throws PlatformException {
-    if (down) {
+  private void requireAvailable() throws PlatformException {
+    if (unavailable) {
       throw new PlatformException("down");
     }
   }
--- a/core/src/test/java/org/magnoliaswitch/core/testing/RawServer.java
+++ b/core/src/test/java/org/magnoliaswitch/core/testing/ScriptedServer.java
@@ -12,31 +12,31 @@
 import java.util.function.IntFunction;
 
 /** A server that answers each request with the bytes a test gives, whatever they are. */
-public final class RawServer implements AutoCloseable {
+public final class ScriptedServer implements AutoCloseable {
   /** What to do with one request. */
-  public sealed interface Answer {
+  public sealed interface Action {
     /** Sends bytes and keeps the connection. */
-    record Send(String bytes) implements Answer {}
+    record Send(String bytes) implements Action {}
 
     /** Sends bytes and closes. */
-    record SendAndClose(String bytes) implements Answer {}
+    record SendAndClose(String bytes) implements Action {}
 
     /** The whole server ends: its connections close and nobody listens any more. */
-    record End() implements Answer {}
+    record Crash() implements Action {}
 
     /** Never answers. */
-    record Silence() implements Answer {}
+    record Hang() implements Action {}
   }
 
   private final ServerSocket listener;
-  private final IntFunction<Answer> answers;
+  private final IntFunction<Action> actions;
   private final AtomicInteger requests = new AtomicInteger();
   private final AtomicInteger connections = new AtomicInteger();
   private final Set<Socket> open = ConcurrentHashMap.newKeySet();
 
   /** Starts on a free port; the function gets the number of the request, from 0. */
-  public RawServer(IntFunction<Answer> answers) throws IOException {
-    this.answers = answers;
+  public ScriptedServer(IntFunction<Action> actions) throws IOException {
+    this.actions = actions;
     this.listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     Thread.ofVirtual().start(this::accept);
   }
@@ -81,18 +81,18 @@
     try (socket) {
       InputStream in = socket.getInputStream();
       while (readRequest(in)) {
-        Answer answer = answers.apply(requests.getAndIncrement());
-        switch (answer) {
-          case Answer.Send send -> write(socket, send.bytes());
-          case Answer.SendAndClose send -> {
+        Action action = actions.apply(requests.getAndIncrement());
+        switch (action) {
+          case Action.Send send -> write(socket, send.bytes());
+          case Action.SendAndClose send -> {
             write(socket, send.bytes());
             return;
           }
-          case Answer.End end -> {
+          case Action.Crash crash -> {
             close();
             return;
           }
-          case Answer.Silence silence -> {
+          case Action.Hang hang -> {
             int unused = in.read();
             return;
           }
