--- a/bench/src/main/java/org/magnoliaswitch/bench/CallerSession.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/CallerSession.java
@@ -135,7 +135,8 @@
     boolean success = status == OK && (direct || outcome.equals("executed"));
     Verdict verdict;
     if (success) {
-      verdict = AnswerBody.whole(operation, kind.size(), body) ? Verdict.EXECUTED : Verdict.WRONG;
+      verdict =
+          AnswerBody.isComplete(operation, kind.size(), body) ? Verdict.EXECUTED : Verdict.WRONG;
     } else if (outcome.equals("executed")) {
       verdict = Verdict.EXECUTED;
     } else {
--- a/entry/src/test/java/org/magnoliaswitch/entry/RunningEntry.java
+++ b/entry/src/test/java/org/magnoliaswitch/entry/RunningEntry.java
@@ -29,7 +29,7 @@
 import org.magnoliaswitch.core.version.ServerState;
 import org.magnoliaswitch.core.version.Service;
 import org.magnoliaswitch.standins.BackendBehaviour;
-import org.magnoliaswitch.standins.Backends;
+import org.magnoliaswitch.standins.BackendFleet;
 import org.magnoliaswitch.standins.PlatformFaults;
 import org.magnoliaswitch.standins.PlatformStandin;
 
@@ -38,7 +38,7 @@
   private static final int SERVERS = 3;
 
   private final PlatformStandin platform;
-  private final Backends backends;
+  private final BackendFleet backends;
   private final int controlPort;
   private final ControlPlane control;
   private final CallerListener callers;
@@ -46,12 +46,12 @@
 
   RunningEntry() throws Exception {
     this.platform = new PlatformStandin("127.0.0.1", 0, Clocks.system());
-    platform.listen();
-    this.backends = new Backends(Clocks.system());
+    platform.startServer();
+    this.backends = new BackendFleet(Clocks.system());
     Service service = service();
     service.servers().forEach(s -> backends.add(s, new BackendBehaviour(6, 20, 1, 0.1, 1)));
     this.controlPort = freePort();
-    backends.control("127.0.0.1", controlPort);
+    backends.addControlPort("127.0.0.1", controlPort);
     backends.start();
     this.callerPort = freePort();
     EntrySettings settings = settings();
@@ -134,7 +134,7 @@
   }
 
   void platformFaults(PlatformFaults faults) {
-    platform.faults(faults);
+    platform.setFaults(faults);
   }
 
   CallerListener callers() {
--- a/standins/src/main/java/org/magnoliaswitch/standins/AnswerBody.java
+++ b/standins/src/main/java/org/magnoliaswitch/standins/AnswerBody.java
@@ -23,7 +23,7 @@
   }
 
   /** Whether a body is the whole one of an operation. */
-  public static boolean whole(String operation, int size, byte[] body) {
+  public static boolean isComplete(String operation, int size, byte[] body) {
     return Arrays.equals(of(operation, size), body);
   }
 }
--- a/standins/src/main/java/org/magnoliaswitch/standins/Backends.java
+++ b/standins/src/main/java/org/magnoliaswitch/standins/BackendFleet.java
@@ -26,7 +26,7 @@
 import org.magnoliaswitch.core.version.Json;
 
 /** Many backend stand-ins in one process, each on its own port, and a port that steers them. */
-public final class Backends implements AutoCloseable {
+public final class BackendFleet implements AutoCloseable {
   private static final int ACCEPT_QUEUE = 1_024;
   private static final int OK = 200;
   private static final int NOT_FOUND = 404;
@@ -45,7 +45,7 @@
   private final Map<String, BackendStandin> standins = new LinkedHashMap<>();
   private final Map<String, ServerConnector> connectors = new TreeMap<>();
 
-  public Backends(Clocks clocks) {
+  public BackendFleet(Clocks clocks) {
     this.clocks = clocks;
     QueuedThreadPool threads = new QueuedThreadPool(64, 8);
     threads.setVirtualThreadsExecutor(Executors.newVirtualThreadPerTaskExecutor());
@@ -61,7 +61,7 @@
   }
 
   /** Adds the port that steers the stand-ins. */
-  public void control(String host, int port) {
+  public void addControlPort(String host, int port) {
     connectors.put("", listen("", host, port));
   }
 
--- a/standins/src/main/java/org/magnoliaswitch/standins/PlatformStandin.java
+++ b/standins/src/main/java/org/magnoliaswitch/standins/PlatformStandin.java
@@ -69,7 +69,7 @@
   }
 
   /** Starts to listen. */
-  public void listen() throws Exception {
+  public void startServer() throws Exception {
     server.start();
   }
 
@@ -79,7 +79,7 @@
   }
 
   /** Sets what is wrong. */
-  public void faults(PlatformFaults next) {
+  public void setFaults(PlatformFaults next) {
     faults = next;
   }
 
@@ -100,7 +100,7 @@
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(now.slowMillis()));
     }
     if (now.down()) {
-      Backends.reply(response, callback, FAILED, "down\n");
+      BackendFleet.reply(response, callback, FAILED, "down\n");
       return true;
     }
     serve(request, response, callback, path);
@@ -150,11 +150,11 @@
     }
     switch (result) {
       case TransactionResult.Committed committed ->
-          Backends.reply(response, callback, OK, "committed\n");
+          BackendFleet.reply(response, callback, OK, "committed\n");
       case TransactionResult.Conflict conflict ->
           json(response, callback, CONFLICT, conflict.rows());
       case TransactionResult.Unknown unknown ->
-          Backends.reply(response, callback, FAILED, unknown.reason());
+          BackendFleet.reply(response, callback, FAILED, unknown.reason());
     }
   }
 
@@ -167,20 +167,20 @@
   private void objects(Request request, Response response, Callback callback, String path)
       throws Exception {
     if (!path.equals(OBJECTS)) {
-      Backends.reply(response, callback, NOT_FOUND, "no such path\n");
+      BackendFleet.reply(response, callback, NOT_FOUND, "no such path\n");
       return;
     }
     String name = Request.extractQueryParameters(request).getValue("name");
     if (request.getMethod().equals("PUT")) {
       objectWrites.incrementAndGet();
       objects.put(name, body(request));
-      Backends.reply(response, callback, OK, "stored\n");
+      BackendFleet.reply(response, callback, OK, "stored\n");
       return;
     }
     reads.incrementAndGet();
     byte[] content = objects.get(name);
     if (content == null) {
-      Backends.reply(response, callback, NOT_FOUND, "no such object\n");
+      BackendFleet.reply(response, callback, NOT_FOUND, "no such object\n");
     } else {
       response.setStatus(OK);
       response.write(true, ByteBuffer.wrap(content), callback);
@@ -190,7 +190,7 @@
   private void steer(Request request, Response response, Callback callback, String path)
       throws Exception {
     switch (path) {
-      case "/standin/ready" -> Backends.reply(response, callback, OK, "ready\n");
+      case "/standin/ready" -> BackendFleet.reply(response, callback, OK, "ready\n");
       case "/standin/counts" ->
           json(
               response,
@@ -204,15 +204,15 @@
         merged.setAll(
             (com.fasterxml.jackson.databind.node.ObjectNode) Json.MAPPER.readTree(body(request)));
         faults = Json.MAPPER.treeToValue(merged, PlatformFaults.class);
-        Backends.reply(response, callback, OK, "set\n");
+        BackendFleet.reply(response, callback, OK, "set\n");
       }
       case "/standin/instances" -> {
         List<InstanceList.ListedMachine> list =
             Json.MAPPER.readValue(body(request), new TypeReference<>() {});
         lists.addLast(new ListedSince(list, clocks.millis()));
-        Backends.reply(response, callback, OK, "set\n");
+        BackendFleet.reply(response, callback, OK, "set\n");
       }
-      default -> Backends.reply(response, callback, NOT_FOUND, "no such path\n");
+      default -> BackendFleet.reply(response, callback, NOT_FOUND, "no such path\n");
     }
   }
 
--- a/standins/src/main/java/org/magnoliaswitch/standins/StandinMain.java
+++ b/standins/src/main/java/org/magnoliaswitch/standins/StandinMain.java
@@ -90,7 +90,7 @@
   private void start(OptionSet options) throws Exception {
     if (options.has(platform)) {
       new PlatformStandin(options.valueOf(host), options.valueOf(platform), Clocks.system())
-          .listen();
+          .startServer();
     }
     if (options.has(declarations)) {
       startBackends(options);
@@ -99,7 +99,7 @@
   }
 
   private void startBackends(OptionSet options) throws Exception {
-    Backends backends = new Backends(Clocks.system());
+    BackendFleet backends = new BackendFleet(Clocks.system());
     for (BackendServer server : servers(Path.of(options.valueOf(declarations)))) {
       backends.add(
           server,
@@ -110,7 +110,7 @@
               options.valueOf(spread),
               options.valueOf(seed)));
     }
-    backends.control(options.valueOf(host), options.valueOf(control));
+    backends.addControlPort(options.valueOf(host), options.valueOf(control));
     backends.start();
   }
 
@@ -119,7 +119,8 @@
     List<Problem> problems = new ArrayList<>();
     try (Stream<Path> files = Files.list(directory.resolve("services"))) {
       for (Path file : files.sorted().toList()) {
-        SnapshotParser.readDocument(file.toString(), Files.readAllBytes(file), Service.class, problems)
+        SnapshotParser.readDocument(
+                file.toString(), Files.readAllBytes(file), Service.class, problems)
             .ifPresent(service -> servers.addAll(service.servers()));
       }
     }
