--- a/core/src/test/java/org/magnoliaswitch/core/request/AtMostOnceExecutorModelTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/request/AtMostOnceExecutorModelTest.java
@@ -273,7 +273,7 @@
             return new ClaimResult(ClaimResult.Status.GRANTED, claim.incarnation(), "", 0);
           }
           if (faults.claimFaults()) {
-            platform.nextRandom(scheduler.random());
+            platform.queueRandomFault(scheduler.random());
           }
           ClaimBatcher batcher = new ClaimBatcher(platform);
           CompletableFuture<ClaimResult> result = batcher.add(claim);
@@ -339,7 +339,7 @@
     private void applyLateWrites() {
       for (int i = 0; i < 6; i++) {
         scheduler.step();
-        platform.landLateWrites();
+        platform.applyDelayedWrites();
       }
     }
 
--- a/core/src/test/java/org/magnoliaswitch/core/request/ServerChooserTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/request/ServerChooserTest.java
@@ -54,7 +54,8 @@
   public void aFullServerIsAvoided() {
     List<ServerHandle> servers = warmedUpServers(4);
     servers.get(1).load().recordReport(new LoadReport(12, 6, false), clock.read());
-    assertEquals(choices(Declarations.FRESH, servers).getOrDefault("s1", 0), Integer.valueOf(0));
+    assertEquals(
+        choices(Declarations.FRESH_LOAD, servers).getOrDefault("s1", 0), Integer.valueOf(0));
   }
 
   /**
@@ -72,7 +73,7 @@
     }
     double expected =
         ServerChooser.expectedRequests(
-            Declarations.FRESH, servers.get(0).load(), 5.0, clock.read());
+            Declarations.FRESH_LOAD, servers.get(0).load(), 5.0, clock.read());
     assertTrue(expected > 4.9, "expected " + expected);
   }
 
@@ -83,7 +84,7 @@
     load.requestStarted();
     load.requestStarted();
     assertEquals(
-        ServerChooser.expectedRequests(Declarations.FRESH, load, 2.0, clock.read()), 4.0, 0.01);
+        ServerChooser.expectedRequests(Declarations.FRESH_LOAD, load, 2.0, clock.read()), 4.0, 0.01);
   }
 
   @Test
@@ -93,7 +94,8 @@
       servers.get(2).load().requestStarted();
       servers.get(2).load().recordSuccess(Duration.ofMillis(200).toNanos(), clock.read());
     }
-    assertEquals(choices(Declarations.FRESH, servers).getOrDefault("s2", 0), Integer.valueOf(0));
+    assertEquals(
+        choices(Declarations.FRESH_LOAD, servers).getOrDefault("s2", 0), Integer.valueOf(0));
   }
 
   @Test
@@ -103,18 +105,20 @@
       servers.get(0).load().requestStarted();
       servers.get(0).load().recordFailure();
     }
-    assertEquals(choices(Declarations.FRESH, servers).getOrDefault("s0", 0), Integer.valueOf(0));
+    assertEquals(
+        choices(Declarations.FRESH_LOAD, servers).getOrDefault("s0", 0), Integer.valueOf(0));
   }
 
   @Test
   public void nearServersArePreferredUnlessTheyAreWorse() {
     List<ServerHandle> servers = new ArrayList<>(warmedUpServers(2));
     servers.add(warmUp(handle("far", "dc-2")));
-    assertEquals(choices(Declarations.FRESH, servers).getOrDefault("far", 0), Integer.valueOf(0));
+    assertEquals(
+        choices(Declarations.FRESH_LOAD, servers).getOrDefault("far", 0), Integer.valueOf(0));
     for (ServerHandle near : servers.subList(0, 2)) {
       near.load().recordReport(new LoadReport(18, 6, false), clock.read());
     }
-    assertEquals(choices(Declarations.FRESH, servers).get("far"), Integer.valueOf(CHOICES));
+    assertEquals(choices(Declarations.FRESH_LOAD, servers).get("far"), Integer.valueOf(CHOICES));
   }
 
   private Map<String, Integer> choices(RoutingPolicy policy, List<ServerHandle> servers) {
