--- a/core/src/main/java/org/magnoliaswitch/core/peer/PeerClient.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/PeerClient.java
@@ -9,15 +9,16 @@
 import java.util.Map;
 
 /**
- * Calls peers over kept connections; the number of kept ones is bounded, least recent out first.
+ * Calls peers over pooled connections. The number of peers with pooled connections is bounded; the
+ * connections of the least recently used peer are closed first.
  */
 public final class PeerClient implements AutoCloseable {
-  private static final int MAX_KEPT_PEERS = 8;
-  private static final int MAX_KEPT_PER_PEER = 2;
+  private static final int MAX_POOLED_PEERS = 8;
+  private static final int MAX_POOLED_PER_PEER = 2;
 
   private final PeerSecret secret;
   private final PeerTraffic traffic;
-  private final Map<Address, Deque<PeerConnection>> kept = new LinkedHashMap<>(16, 0.75f, true);
+  private final Map<Address, Deque<PeerConnection>> pooled = new LinkedHashMap<>(16, 0.75f, true);
 
   public PeerClient(PeerSecret secret, PeerTraffic traffic) {
     this.secret = secret;
@@ -27,50 +28,50 @@
   /**
    * Sends a request and waits for the reply.
    *
-   * @throws IOException when the peer gave no whole reply in time; the request may have been
-   *     handled
+   * @throws IOException if the peer gave no complete reply in time; it may have handled the request
    */
   public PeerMessage call(Address peer, PeerMessage request, int timeoutMillis) throws IOException {
-    PeerConnection connection = takeOrOpen(peer, timeoutMillis);
-    boolean whole = false;
+    PeerConnection connection = acquireOrOpen(peer, timeoutMillis);
+    boolean complete = false;
     try {
-      connection.readTimeout(Math.max(1, timeoutMillis));
+      connection.setReadTimeout(Math.max(1, timeoutMillis));
       connection.write(request);
       PeerMessage reply = connection.read();
-      whole = true;
+      complete = true;
       traffic.messages().addAndGet(2);
       return reply;
     } finally {
-      // A connection without a whole reply is closed: a late reply must not meet the next request.
-      if (whole) {
-        keep(peer, connection);
+      // A connection without a complete reply is closed: a late reply must not be taken for the
+      // reply to the next request.
+      if (complete) {
+        pool(peer, connection);
       } else {
         connection.close();
-        forget(peer);
+        closePooled(peer);
       }
     }
   }
 
-  /** Peers to which a connection is kept. */
-  public List<Address> keptPeers() {
-    synchronized (kept) {
-      return List.copyOf(kept.keySet());
+  /** Peers with pooled connections. */
+  public List<Address> connectedPeers() {
+    synchronized (pooled) {
+      return List.copyOf(pooled.keySet());
     }
   }
 
   @Override
   public void close() {
-    synchronized (kept) {
-      kept.values().forEach(queue -> queue.forEach(PeerConnection::close));
-      kept.clear();
+    synchronized (pooled) {
+      pooled.values().forEach(connections -> connections.forEach(PeerConnection::close));
+      pooled.clear();
     }
   }
 
-  private PeerConnection takeOrOpen(Address peer, int timeoutMillis) throws IOException {
-    synchronized (kept) {
-      Deque<PeerConnection> queue = kept.get(peer);
-      if (queue != null && !queue.isEmpty()) {
-        return queue.pop();
+  private PeerConnection acquireOrOpen(Address peer, int timeoutMillis) throws IOException {
+    synchronized (pooled) {
+      Deque<PeerConnection> connections = pooled.get(peer);
+      if (connections != null && !connections.isEmpty()) {
+        return connections.pop();
       }
     }
     Socket socket = new Socket();
@@ -86,26 +87,26 @@
     }
   }
 
-  private void keep(Address peer, PeerConnection connection) {
-    synchronized (kept) {
-      Deque<PeerConnection> queue = kept.computeIfAbsent(peer, p -> new ArrayDeque<>());
-      if (queue.size() >= MAX_KEPT_PER_PEER) {
+  private void pool(Address peer, PeerConnection connection) {
+    synchronized (pooled) {
+      Deque<PeerConnection> connections = pooled.computeIfAbsent(peer, p -> new ArrayDeque<>());
+      if (connections.size() >= MAX_POOLED_PER_PEER) {
         connection.close();
       } else {
-        queue.push(connection);
+        connections.push(connection);
       }
-      if (kept.size() > MAX_KEPT_PEERS) {
-        Address oldest = kept.keySet().iterator().next();
-        kept.remove(oldest).forEach(PeerConnection::close);
+      if (pooled.size() > MAX_POOLED_PEERS) {
+        Address oldest = pooled.keySet().iterator().next();
+        pooled.remove(oldest).forEach(PeerConnection::close);
       }
     }
   }
 
-  private void forget(Address peer) {
-    synchronized (kept) {
-      Deque<PeerConnection> queue = kept.remove(peer);
-      if (queue != null) {
-        queue.forEach(PeerConnection::close);
+  private void closePooled(Address peer) {
+    synchronized (pooled) {
+      Deque<PeerConnection> connections = pooled.remove(peer);
+      if (connections != null) {
+        connections.forEach(PeerConnection::close);
       }
     }
   }
--- a/core/src/main/java/org/magnoliaswitch/core/process/ClaimBatcher.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ClaimBatcher.java
@@ -20,20 +20,21 @@
 import org.magnoliaswitch.core.version.Json;
 
 /**
- * Groups claims of keys into one table transaction each.
+ * Combines claims of keys into table transactions.
  *
- * <p>A claim inserts a row that must not exist. It is never taken over by lapse of time: its holder
- * may be paused and still send. A claim whose answer was lost is looked up; when the row is not
- * there it counts as unavailable, and should the write land later, the row still names the same
- * holder, which may then execute the key on the caller's next try.
+ * <p>A claim inserts a row that must not exist yet. It never passes to another holder because time
+ * has elapsed: its holder may be paused and still send the request. If the answer to a transaction
+ * is lost, the rows are read; a claim without a row counts as unavailable. Should the write be
+ * applied later, the row still names the same holder, which may then execute the key on the
+ * caller's next attempt.
  */
 public final class ClaimBatcher {
-  /** Claims per transaction. */
+  /** Maximum number of claims per transaction. */
   public static final int MAX_BATCH = 100;
 
   private static final String PREFIX = "claim/";
 
-  /** Content of a claim's row. */
+  /** JSON value of a claim's row. */
   private record Holder(String incarnation, String fingerprint) {}
 
   private record Pending(Claim claim, CompletableFuture<ClaimResult> result) {}
@@ -53,12 +54,16 @@
     return result;
   }
 
-  /** Whether claims wait. */
+  /** Returns whether claims are waiting for a transaction. */
   public synchronized boolean hasPending() {
     return !pending.isEmpty();
   }
 
-  /** Performs one transaction for the claims that wait; called by one thread at a time. */
+  /**
+   * Commits the waiting claims, at most {@link #MAX_BATCH}, in one transaction, and those without a
+   * conflict in another one if some keys turn out to be held. Concurrent calls are safe, since each
+   * takes a batch of its own.
+   */
   public void flush() {
     List<Pending> batch = takeBatch();
     if (batch.isEmpty()) {
@@ -68,15 +73,21 @@
     for (Pending next : batch) {
       Pending first = unique.putIfAbsent(next.claim().key(), next);
       if (first != null) {
-        // The same key twice in one batch: the second learns of the first.
+        // A key that occurs twice in a batch is claimed once; the second claim gets its result.
         var unused =
-            first.result().thenAccept(r -> next.result().complete(seenBy(next.claim(), first, r)));
+            first
+                .result()
+                .thenAccept(
+                    r -> next.result().complete(resultForDuplicate(next.claim(), first, r)));
       }
     }
     commit(new ArrayList<>(unique.values()));
   }
 
-  /** The incarnation that holds a key; nothing when the table has no such row or no answer. */
+  /**
+   * Returns the incarnation that holds a key, or empty if the table has no readable row for it or
+   * does not answer.
+   */
   public Optional<String> holder(String key) {
     try {
       Row row = table.read(List.of(PREFIX + key)).getFirst();
@@ -88,7 +99,7 @@
     }
   }
 
-  /** Transactions performed so far. */
+  /** Returns the number of transactions so far. */
   public long transactions() {
     return transactions.get();
   }
@@ -109,12 +120,12 @@
     transactions.incrementAndGet();
     switch (table.transact(writes)) {
       case TransactionResult.Committed committed -> batch.forEach(ClaimBatcher::grant);
-      case TransactionResult.Conflict conflict -> afterConflict(batch, conflict.rows());
-      case TransactionResult.Unknown unknown -> afterLostAnswer(batch);
+      case TransactionResult.Conflict conflict -> resolveConflict(batch, conflict.rows());
+      case TransactionResult.Unknown unknown -> resolveUnknown(batch);
     }
   }
 
-  private void afterConflict(List<Pending> batch, List<Row> rows) {
+  private void resolveConflict(List<Pending> batch, List<Row> rows) {
     Map<String, Row> held = new HashMap<>();
     rows.forEach(row -> held.put(row.key(), row));
     List<Pending> free = new ArrayList<>();
@@ -134,7 +145,7 @@
     }
   }
 
-  private void afterLostAnswer(List<Pending> batch) {
+  private void resolveUnknown(List<Pending> batch) {
     try {
       List<Row> rows = table.read(batch.stream().map(p -> rowKey(p.claim())).toList());
       for (int i = 0; i < batch.size(); i++) {
@@ -147,7 +158,7 @@
     }
   }
 
-  private static ClaimResult seenBy(Claim claim, Pending first, ClaimResult result) {
+  private static ClaimResult resultForDuplicate(Claim claim, Pending first, ClaimResult result) {
     boolean sameHolder = first.claim().incarnation().equals(claim.incarnation());
     if (result.status() != ClaimResult.Status.GRANTED || sameHolder) {
       return result;
@@ -194,7 +205,7 @@
     try {
       return Json.MAPPER.writeValueAsString(new Holder(claim.incarnation(), claim.fingerprint()));
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a holder is always writable as JSON", e);
+      throw new IllegalStateException("the holder of a claim cannot be written as JSON", e);
     }
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/CurrentVersion.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/CurrentVersion.java
@@ -18,8 +18,8 @@
 /**
  * The configuration in force at this instance.
  *
- * <p>It is swapped as a whole and its number only rises: an older version that arrives late, from a
- * peer that lagged or from the store, changes nothing.
+ * <p>It is replaced as a whole and its version number only increases: an older version that arrives
+ * late, from a lagging peer or from the store, is ignored.
  */
 public final class CurrentVersion {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -27,7 +27,7 @@
   private final ContentCache cache;
   private final Timeline timeline;
   private final AtomicReference<Snapshot> current = new AtomicReference<>(Snapshot.EMPTY);
-  private final AtomicReference<String> refusedDigest = new AtomicReference<>("");
+  private final AtomicReference<String> rejectedDigest = new AtomicReference<>("");
   private final List<Consumer<Snapshot>> listeners = new CopyOnWriteArrayList<>();
 
   public CurrentVersion(ContentCache cache, Timeline timeline) {
@@ -35,70 +35,75 @@
     this.timeline = timeline;
   }
 
-  /** The snapshot in force. */
+  /** Returns the snapshot in force. */
   public Snapshot get() {
     return current.get();
   }
 
-  /** Calls a listener after every swap. */
-  public void listen(Consumer<Snapshot> listener) {
+  /** Adds a listener that is called after each replacement. */
+  public void addListener(Consumer<Snapshot> listener) {
     listeners.add(listener);
   }
 
-  /** Whether a version is news worth fetching. */
-  public boolean wants(long version, String manifestDigest) {
-    return version > current.get().version() && !manifestDigest.equals(refusedDigest.get());
+  /** Returns whether a version is newer than the one in force and was not rejected. */
+  public boolean shouldFetch(long version, String manifestDigest) {
+    return version > current.get().version() && !manifestDigest.equals(rejectedDigest.get());
   }
 
-  /** Digests of a manifest's parts that are not held yet; the manifest itself must be held. */
-  public List<String> missing(String manifestDigest) throws IOException {
+  /**
+   * Returns the digests of a manifest's parts that are not cached yet; the manifest itself must be
+   * cached.
+   */
+  public List<String> missingParts(String manifestDigest) throws IOException {
     List<String> missing = new ArrayList<>(manifest(manifestDigest).parts().values());
     missing.removeIf(digest -> cache.get(digest).isPresent());
     return missing;
   }
 
-  /** Reads a held manifest. */
+  /** Reads a cached manifest. */
   public Manifest manifest(String manifestDigest) throws IOException {
     byte[] content =
-        cache.get(manifestDigest).orElseThrow(() -> new IOException("manifest not held"));
+        cache.get(manifestDigest).orElseThrow(() -> new IOException("the manifest is not cached"));
     return Json.MAPPER.readValue(content, Manifest.class);
   }
 
   /**
-   * Puts a version in force whose contents are all held.
+   * Puts a version into force whose contents are all cached.
    *
-   * @return whether it is in force now
+   * @return whether the version was put into force
    */
   public synchronized boolean adopt(String manifestDigest) throws IOException {
     Manifest manifest = manifest(manifestDigest);
-    if (!wants(manifest.version(), manifestDigest)) {
+    if (!shouldFetch(manifest.version(), manifestDigest)) {
       return false;
     }
     Map<String, byte[]> parts = new HashMap<>();
     for (Map.Entry<String, String> part : manifest.parts().entrySet()) {
       parts.put(
           part.getKey(),
-          cache.get(part.getValue()).orElseThrow(() -> new IOException("part not held")));
+          cache
+              .get(part.getValue())
+              .orElseThrow(() -> new IOException("a manifest part is not cached")));
     }
     try {
       Snapshot next = SnapshotParser.parse(manifest.version(), manifestDigest, parts);
       current.set(next);
-      List<String> keep = new ArrayList<>(manifest.parts().values());
-      keep.add(manifestDigest);
-      cache.retain(keep);
+      List<String> retained = new ArrayList<>(manifest.parts().values());
+      retained.add(manifestDigest);
+      cache.retain(retained);
       timeline.record(
           EventKind.VERSION_IN_FORCE,
           "version=" + next.version() + " change=" + manifest.changeId());
       listeners.forEach(listener -> listener.accept(next));
       return true;
     } catch (InvalidDeclarationException e) {
-      refuse(manifest, manifestDigest, e);
+      reject(manifest, manifestDigest, e);
       return false;
     }
   }
 
-  private void refuse(Manifest manifest, String digest, InvalidDeclarationException cause) {
-    refusedDigest.set(digest);
+  private void reject(Manifest manifest, String digest, InvalidDeclarationException cause) {
+    rejectedDigest.set(digest);
     timeline.record(EventKind.VERSION_REFUSED, "version=" + manifest.version());
     logger.atSevere().log(
         "event=version_refused version=%d kept=%d problems=%s",
--- a/core/src/main/java/org/magnoliaswitch/core/process/LeavingServers.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/LeavingServers.java
@@ -6,57 +6,65 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import org.magnoliaswitch.core.clock.Clocks;
-import org.magnoliaswitch.core.peer.LeavingMark;
-import org.magnoliaswitch.core.peer.LeavingMark.Sign;
+import org.magnoliaswitch.core.peer.LeavingNotice;
+import org.magnoliaswitch.core.peer.LeavingNotice.Source;
 
 /**
- * Backend servers that leave, by whatever sign came first.
+ * Backend servers that are leaving according to any kind of sign.
  *
- * <p>Each kind of sign keeps its own latest word, so that a server whose own report is silent
- * cannot undo what the platform's list says. A mark ends when the same kind of sign takes it back,
- * or when no first-hand sign has renewed it for a while; peers pass marks on without renewing them,
- * so that they cannot keep one alive among themselves.
+ * <p>Each kind of sign has its own latest mark, so that a server whose own report says nothing
+ * cannot override the platform's list. A mark ends when the same kind of sign revokes it, or when
+ * no first-hand sign has renewed it within its lifetime; peers forward marks without renewing them,
+ * so that they cannot keep a mark alive among themselves.
  */
 public final class LeavingServers {
-  /** Longer than the time between first-hand signs of a server that goes on leaving. */
-  private static final long MARK_MILLIS = 30_000;
+  /** Longer than the time between two first-hand signs of a server that continues to leave. */
+  private static final long MARK_LIFETIME_MILLIS = 30_000;
 
-  /** First-hand signs repeat what is known at most this often, so that news stays rare. */
-  private static final long RENEW_MILLIS = 5_000;
+  /** Minimum time between two renewals of a mark by first-hand signs, which keeps updates rare. */
+  private static final long RENEWAL_MILLIS = 5_000;
 
-  private static final int MAX_SPREAD = 12;
+  private static final int MAX_MARKS_PER_MESSAGE = 12;
 
-  private record Key(String server, Sign sign) {}
+  private record Key(String server, Source sign) {}
 
   private final Clocks clocks;
-  private final Map<Key, LeavingMark> marks = new ConcurrentHashMap<>();
+  private final Map<Key, LeavingNotice> marks = new ConcurrentHashMap<>();
 
   public LeavingServers(Clocks clocks) {
     this.clocks = clocks;
   }
 
-  /** Notes a first-hand sign that a server leaves; true when it is news worth telling. */
-  public boolean noticed(String server, Sign sign) {
-    return note(new LeavingMark(server, sign, clocks.millis(), true));
+  /**
+   * Records a first-hand sign that a server is leaving; returns whether peers should be informed.
+   */
+  public boolean markLeaving(String server, Source sign) {
+    return recordFirstHand(new LeavingNotice(server, sign, clocks.millis(), true));
   }
 
-  /** Notes a first-hand sign that a server does not leave (any more); true when it is news. */
-  public boolean returned(String server, Sign sign) {
-    LeavingMark known = marks.get(new Key(server, sign));
+  /**
+   * Records a first-hand sign that a server is not leaving, or no longer; returns whether peers
+   * should be informed.
+   */
+  public boolean markReturned(String server, Source sign) {
+    LeavingNotice known = marks.get(new Key(server, sign));
     return known != null
         && known.leaving()
-        && note(new LeavingMark(server, sign, clocks.millis(), false));
+        && recordFirstHand(new LeavingNotice(server, sign, clocks.millis(), false));
   }
 
-  /** Takes a mark from a peer; true when it changes what is known. */
-  public boolean merge(LeavingMark mark) {
+  /**
+   * Merges a mark from a peer; returns whether it changes whether the server is leaving by its kind
+   * of sign.
+   */
+  public boolean merge(LeavingNotice mark) {
     if (expired(mark)) {
       return false;
     }
-    LeavingMark[] before = new LeavingMark[1];
-    LeavingMark after =
+    LeavingNotice[] before = new LeavingNotice[1];
+    LeavingNotice after =
         marks.merge(
-            new Key(mark.server(), mark.sign()),
+            new Key(mark.server(), mark.source()),
             mark,
             (old, fresh) -> {
               before[0] = old;
@@ -66,13 +74,13 @@
     return after.leaving() != leftBefore;
   }
 
-  /** Whether the server must get no new work. */
+  /** Returns whether the server is leaving and must get no new requests. */
   public boolean leaving(String server) {
     if (marks.isEmpty()) {
       return false;
     }
-    for (Sign sign : Sign.values()) {
-      LeavingMark mark = marks.get(new Key(server, sign));
+    for (Source sign : Source.values()) {
+      LeavingNotice mark = marks.get(new Key(server, sign));
       if (mark != null && mark.leaving() && !expired(mark)) {
         return true;
       }
@@ -80,32 +88,32 @@
     return false;
   }
 
-  /** Servers that leave by one kind of sign. */
-  public List<String> leavingBy(Sign sign) {
+  /** Returns the servers that are leaving by one kind of sign. */
+  public List<String> leavingBy(Source sign) {
     return marks.values().stream()
-        .filter(mark -> mark.sign() == sign && mark.leaving() && !expired(mark))
-        .map(LeavingMark::server)
+        .filter(mark -> mark.source() == sign && mark.leaving() && !expired(mark))
+        .map(LeavingNotice::server)
         .toList();
   }
 
-  /** The most recent marks, bounded. */
-  public List<LeavingMark> recent() {
+  /** Returns the most recent marks, as many as fit into a message. */
+  public List<LeavingNotice> recent() {
     marks.values().removeIf(this::expired);
-    List<LeavingMark> recent = new ArrayList<>(marks.values());
-    recent.sort(Comparator.comparingLong(LeavingMark::atMillis).reversed());
-    return recent.subList(0, Math.min(MAX_SPREAD, recent.size()));
+    List<LeavingNotice> recent = new ArrayList<>(marks.values());
+    recent.sort(Comparator.comparingLong(LeavingNotice::atMillis).reversed());
+    return recent.subList(0, Math.min(MAX_MARKS_PER_MESSAGE, recent.size()));
   }
 
-  private boolean note(LeavingMark mark) {
-    LeavingMark known = marks.get(new Key(mark.server(), mark.sign()));
-    boolean fresh =
+  private boolean recordFirstHand(LeavingNotice mark) {
+    LeavingNotice known = marks.get(new Key(mark.server(), mark.source()));
+    boolean renewed =
         known != null
             && known.leaving() == mark.leaving()
-            && mark.atMillis() - known.atMillis() < RENEW_MILLIS;
-    return !fresh && merge(mark);
+            && mark.atMillis() - known.atMillis() < RENEWAL_MILLIS;
+    return !renewed && merge(mark);
   }
 
-  private boolean expired(LeavingMark mark) {
-    return clocks.millis() - mark.atMillis() >= MARK_MILLIS;
+  private boolean expired(LeavingNotice mark) {
+    return clocks.millis() - mark.atMillis() >= MARK_LIFETIME_MILLIS;
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/Prober.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Prober.java
@@ -11,17 +11,18 @@
 import org.apache.hc.core5.http.message.BasicClassicHttpRequest;
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.core.connection.BackendConnection;
-import org.magnoliaswitch.core.peer.LeavingMark;
-import org.magnoliaswitch.core.version.MeasuringBudget;
+import org.magnoliaswitch.core.peer.LeavingNotice;
+import org.magnoliaswitch.core.version.ProbeBudget;
 import org.magnoliaswitch.core.version.ServerState;
 
 /**
- * Asks servers that were not heard of lately for their load, within the measuring budget.
+ * Requests load reports from servers without recent contact, within the measuring budget.
  *
- * <p>Reports ride on every response, so probes are for quiet servers, ejected ones and those said
- * to leave. Each instance sends a server at most one probe per window, whose length follows from
- * the declared bound on instances; the budget over all instances then holds without any knowledge
- * of the others. Should more instances be seen than declared, the window grows with them.
+ * <p>Every response carries a report, so probes are for servers without requests, ejected servers
+ * and servers said to be leaving. Each instance sends a server at most one probe per window, whose
+ * length follows from the declared maximum number of instances; the budget of all instances
+ * together therefore holds without any knowledge of the others. If more instances are seen than
+ * declared, the window grows with their number.
  */
 public final class Prober {
   /** Path of the load endpoint of backend servers. */
@@ -29,76 +30,80 @@
 
   private static final int TIMEOUT_MILLIS = 200;
 
-  /** A server heard of within this time needs no probe. */
-  private static final long QUIET_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  /** A server with a contact within this time needs no probe. */
+  private static final long RECENT_CONTACT_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   private final ServiceRegistry registry;
   private final Membership membership;
   private final LeavingServers leaving;
   private final Timeline timeline;
   private final Clocks clocks;
-  private final Runnable leavingNews;
-  private final AtomicLong sent = new AtomicLong();
+  private final Runnable onLeavingChange;
+  private final AtomicLong probesSent = new AtomicLong();
 
   public Prober(
-      ServiceRegistry registry, ControlState control, Clocks clocks, Runnable leavingNews) {
+      ServiceRegistry registry, ControlState control, Clocks clocks, Runnable onLeavingChange) {
     this.registry = registry;
     this.membership = control.membership();
     this.leaving = control.leaving();
     this.timeline = control.timeline();
     this.clocks = clocks;
-    this.leavingNews = leavingNews;
+    this.onLeavingChange = onLeavingChange;
   }
 
-  /** Probes the servers that are due; called many times a second. */
-  public void probeDue() {
+  /** Probes the servers that are due; called many times per second. */
+  public void probeDueServers() {
     int instances = membership.size();
     Collection<ServiceState> services = registry.state().services().values();
     for (ServiceState service : services) {
-      MeasuringBudget budget = service.profile().measuring();
+      ProbeBudget budget = service.profile().measuring();
       long window = windowNanos(budget, instances);
       for (ServerHandle handle : service.servers()) {
         long now = clocks.nanos();
-        if (wanted(handle, now, window) && handle.load().claimProbe(now, window)) {
+        if (needsProbe(handle, now, window) && handle.load().tryClaimProbe(now, window)) {
           Thread.ofVirtual().name("probe").start(() -> probe(service, handle));
         }
       }
     }
   }
 
-  /** Probes sent so far. */
-  public long sent() {
-    return sent.get();
+  /** Returns the number of probes sent so far. */
+  public long probesSent() {
+    return probesSent.get();
   }
 
-  /** Least time between two probes of one server by this instance. */
-  static long windowNanos(MeasuringBudget budget, int instances) {
+  /** Returns the minimum time between two probes of a server by this instance. */
+  static long windowNanos(ProbeBudget budget, int instances) {
     double factor = Math.max(1.0, (double) instances / budget.maxInstances());
-    return (long) (TimeUnit.MILLISECONDS.toNanos(budget.windowMillis()) * factor);
+    return (long) (TimeUnit.MILLISECONDS.toNanos(budget.minIntervalMillis()) * factor);
   }
 
-  /** A server that is full or has asked for a pause gets no probe: that would take capacity. */
-  private static boolean wanted(ServerHandle handle, long now, long window) {
+  /**
+   * Returns whether a server needs a probe. A server that is full or has requested a pause gets
+   * none, since a probe would use its capacity.
+   */
+  private static boolean needsProbe(ServerHandle handle, long now, long window) {
     ServerLoad load = handle.load();
-    boolean quiet = now - load.lastHeardNanos() > Math.min(QUIET_NANOS, window);
+    boolean noRecentContact =
+        now - load.lastContactNanos() > Math.min(RECENT_CONTACT_NANOS, window);
     LoadReport last = load.lastReport().report();
     boolean full = load.inFlight() > 0 && last.requests() >= last.slots();
     return handle.server().state() == ServerState.ACTIVE
-        && quiet
+        && noRecentContact
         && !full
         && !load.pause().active(now);
   }
 
   private void probe(ServiceState service, ServerHandle handle) {
-    sent.incrementAndGet();
+    probesSent.incrementAndGet();
     try {
-      BackendConnection connection = handle.pool().take(Long.MAX_VALUE, TIMEOUT_MILLIS);
-      boolean whole = false;
+      BackendConnection connection = handle.pool().acquire(Long.MAX_VALUE, TIMEOUT_MILLIS);
+      boolean complete = false;
       try {
-        whole = exchange(service, handle, connection);
+        complete = exchange(service, handle, connection);
       } finally {
-        if (whole) {
-          handle.pool().giveBack(connection);
+        if (complete) {
+          handle.pool().release(connection);
         } else {
           handle.pool().discard(connection);
         }
@@ -110,7 +115,7 @@
 
   private boolean exchange(ServiceState service, ServerHandle handle, BackendConnection connection)
       throws IOException, HttpException {
-    connection.readTimeout(TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS));
+    connection.setReadTimeout(TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS));
     BasicClassicHttpRequest request = new BasicClassicHttpRequest("GET", LOAD_PATH);
     request.setHeader("Host", handle.server().host() + ':' + handle.server().port());
     connection.send(request);
@@ -121,25 +126,25 @@
     }
     Header header = response.getFirstHeader(LoadReport.HEADER);
     if (response.getCode() == HttpStatus.SC_OK && header != null && header.getValue() != null) {
-      LoadReport.parse(header.getValue()).ifPresent(told -> take(service, handle, told));
+      LoadReport.parse(header.getValue()).ifPresent(report -> applyReport(service, handle, report));
     }
     return true;
   }
 
-  private void take(ServiceState service, ServerHandle handle, LoadReport told) {
-    handle.load().reported(told, clocks.nanos());
-    boolean news =
-        told.draining()
-            ? leaving.noticed(handle.id(), LeavingMark.Sign.REPORT)
-            : leaving.returned(handle.id(), LeavingMark.Sign.REPORT);
-    if (news) {
+  private void applyReport(ServiceState service, ServerHandle handle, LoadReport report) {
+    handle.load().recordReport(report, clocks.nanos());
+    boolean changed =
+        report.draining()
+            ? leaving.markLeaving(handle.id(), LeavingNotice.Source.REPORT)
+            : leaving.markReturned(handle.id(), LeavingNotice.Source.REPORT);
+    if (changed) {
       timeline.record(
           EventKind.SERVER_LEAVING,
           "",
           service.service().name(),
           handle.id(),
-          "sign=probe leaving=" + told.draining());
-      leavingNews.run();
+          "sign=probe leaving=" + report.draining());
+      onLeavingChange.run();
     }
   }
 }
