--- a/front/src/test/java/org/magnoliaswitch/front/peer/PeerUpdateCodecTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/PeerUpdateCodecTest.java
@@ -147,10 +147,10 @@
             Optional.empty());
     InstanceIndex index = new InstanceIndex(3, 97);
     byte[] message = PeerUpdateCodec.encode(shared);
-    byte[] end = PeerUpdateCodec.encodeTail(index, 7, 0);
+    byte[] tail = PeerUpdateCodec.encodeTail(index, 7, 0);
     byte[] update = RouteUpdateCodec.encode(Optional.empty());
-    byte[] whole = Bytes.concat(message, end, update);
-    assertEquals(PeerUpdateCodec.decode(whole).instanceIndex(), Optional.of(index));
+    byte[] complete = Bytes.concat(message, tail, update);
+    assertEquals(PeerUpdateCodec.decode(complete).instanceIndex(), Optional.of(index));
     assertEquals(PeerUpdateCodec.decode(message).instanceIndex(), Optional.empty());
   }
 
--- a/front/src/test/java/org/magnoliaswitch/front/peer/RouteUpdateCodecTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/peer/RouteUpdateCodecTest.java
@@ -81,11 +81,11 @@
       routes.add(route("r" + Integer.toHexString(i * 0x9E3779B9)));
     }
     RouteTable table = new RouteTable(9, routes, SERVICES, CallerLimits.DEFAULT);
-    RouteUpdate whole = new RouteUpdate.Full(table);
-    RouteTable read = roundTrip(whole).applyTo(RouteTable.EMPTY).orElseThrow();
+    RouteUpdate full = new RouteUpdate.Full(table);
+    RouteTable read = roundTrip(full).applyTo(RouteTable.EMPTY).orElseThrow();
     assertEquals(new HashSet<>(read.routes()), new HashSet<>(routes));
     assertEquals(List.copyOf(read.services()), SERVICES);
-    assertTrue(RouteUpdateCodec.encode(Optional.of(whole)).length < 60 * routes.size());
+    assertTrue(RouteUpdateCodec.encode(Optional.of(full)).length < 60 * routes.size());
   }
 
   @Test
--- a/front/src/test/java/org/magnoliaswitch/front/request/CrashingRequestTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/CrashingRequestTest.java
@@ -64,7 +64,7 @@
 
     private boolean handle(int index, ScriptedServer.Received request) throws IOException {
       if (!request.line().contains("/crash")) {
-        return request.answer(200, "ok");
+        return request.respond(200, "ok");
       }
       crashes.incrementAndGet();
       all.get(index).close();
@@ -90,7 +90,7 @@
       ScriptedServer[] all = servers.all.toArray(new ScriptedServer[0]);
       List<RunningFront> fronts = RunningFront.group(INSTANCES, TIMEOUT_MILLIS, all);
       for (int i = 0; i < REQUESTS; i++) {
-        fronts.get(i % INSTANCES).ask("GET", CRASHING_PATH, TIMEOUT_MILLIS);
+        fronts.get(i % INSTANCES).request("GET", CRASHING_PATH, TIMEOUT_MILLIS);
       }
       int crashes = servers.crashes.get();
       assertTrue(
@@ -114,7 +114,7 @@
       List<RunningFront> fronts = RunningFront.group(INSTANCES, TIMEOUT_MILLIS, all);
       for (int i = 0; i < REQUESTS; i++) {
         String address = "127.0.0." + (10 + i);
-        fronts.get(i % INSTANCES).askFrom(address, "GET", CRASHING_PATH, TIMEOUT_MILLIS);
+        fronts.get(i % INSTANCES).requestFrom(address, "GET", CRASHING_PATH, TIMEOUT_MILLIS);
       }
       int crashes = servers.crashes.get();
       assertTrue(
@@ -138,7 +138,7 @@
       List<String> statuses = new ArrayList<>();
       for (int i = 0; i < REQUESTS; i++) {
         int before = servers.crashes.get();
-        String response = fronts.get(i % INSTANCES).ask("POST", "/once/crash", TIMEOUT_MILLIS);
+        String response = fronts.get(i % INSTANCES).request("POST", "/once/crash", TIMEOUT_MILLIS);
         String status = response.substring("HTTP/1.1 ".length()).substring(0, 3);
         statuses.add(status);
         assertEquals(status, servers.crashes.get() > before ? "502" : "503");
@@ -147,7 +147,7 @@
       assertTrue(
           servers.crashes.get() <= CRASHES_TO_IDENTIFY + ALLOWED_FURTHER_CRASHES,
           statuses.toString());
-      assertTrue(fronts.getFirst().ask("GET", "/safe/ok", TIMEOUT_MILLIS).contains("200"));
+      assertTrue(fronts.getFirst().request("GET", "/safe/ok", TIMEOUT_MILLIS).contains("200"));
       for (RunningFront front : fronts) {
         front.stop(() -> {});
       }
@@ -193,11 +193,11 @@
 
       boolean handle(ScriptedServer.Received request) throws IOException, InterruptedException {
         if (request.line().contains("/health")) {
-          return request.answer(200, "");
+          return request.respond(200, "");
         }
         arrived.release();
         released.await();
-        return request.answer(200, "ok");
+        return request.respond(200, "ok");
       }
     }
 
@@ -327,7 +327,8 @@
     @Test
     public void aConnectionResetIsNotACrash() throws IOException {
       ScriptedServer.Script resets =
-          request -> request.line().contains("/health") ? request.answer(200, "") : request.reset();
+          request ->
+              request.line().contains("/health") ? request.respond(200, "") : request.reset();
       try (ScriptedServer server = new ScriptedServer("a", resets)) {
         Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, server);
         FrontDispatcher handler = new FrontDispatcher(environment);
--- a/front/src/test/java/org/magnoliaswitch/front/request/EvacuationTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/EvacuationTest.java
@@ -26,7 +26,7 @@
 /** Requests while an operator evacuates the data centre of their servers. */
 public final class EvacuationTest {
   private static final long MINUTE = TimeUnit.MINUTES.toNanos(1);
-  private static final Script SUCCEED = request -> request.answer(200, "ok");
+  private static final Script SUCCEED = request -> request.respond(200, "ok");
   private static final Route NON_IDEMPOTENT_ROUTE = Requests.route(false);
   private static final Route IDEMPOTENT_ROUTE = Requests.route(true);
 
@@ -53,11 +53,11 @@
     Script hold =
         request -> {
           released.await();
-          return request.answer(200, "done");
+          return request.respond(200, "done");
         };
     try (ScriptedServer server = new ScriptedServer("a", hold)) {
       Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, server);
-      CompletableFuture<CallerResponse> response = Requests.ask(environment);
+      CompletableFuture<CallerResponse> response = Requests.send(environment);
       server.awaitFirst();
       evacuate(environment, 1, "here");
       released.countDown();
@@ -76,14 +76,14 @@
       throws IOException, InterruptedException {
     try (ScriptedServer server = new ScriptedServer("a", SUCCEED)) {
       Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, server);
-      assertEquals(Requests.ask(environment).join().status().code(), 200);
+      assertEquals(Requests.send(environment).join().status().code(), 200);
       evacuate(environment, 1, "here");
-      CallerResponse refusal = Requests.ask(environment).join();
+      CallerResponse refusal = Requests.send(environment).join();
       assertEquals(refusal.status().code(), 503);
       assertTrue(refusal.headers().contains("Retry-After"));
       assertEquals(server.received().size(), 1);
       evacuate(environment, 2);
-      assertEquals(Requests.ask(environment).join().status().code(), 200);
+      assertEquals(Requests.send(environment).join().status().code(), 200);
       environment.loop().stop();
     }
   }
@@ -105,7 +105,7 @@
     try (ScriptedServer first = new ScriptedServer("a", reject);
         ScriptedServer second = new ScriptedServer("b", reject)) {
       Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, first, second);
-      CompletableFuture<CallerResponse> response = Requests.ask(environment);
+      CompletableFuture<CallerResponse> response = Requests.send(environment);
       while (first.received().size() + second.received().size() == 0) {
         Thread.onSpinWait();
       }
@@ -141,11 +141,11 @@
           .set(new RouteTable(2, List.of(IDEMPOTENT_ROUTE), List.of(policy), CallerLimits.DEFAULT));
       evacuate(environment, 1, "here");
       evacuate(environment, 2);
-      assertEquals(Requests.ask(environment).join().status().code(), 503);
+      assertEquals(Requests.send(environment).join().status().code(), 503);
       assertEquals(server.received().size(), 0);
       int status = 503;
       while (status == 503) {
-        status = Requests.ask(environment).join().status().code();
+        status = Requests.send(environment).join().status().code();
       }
       assertEquals(status, 200);
       environment.loop().stop();
@@ -158,7 +158,7 @@
     try (ScriptedServer server = new ScriptedServer("a", SUCCEED)) {
       Environment environment =
           TestEnvironment.with(IDEMPOTENT_ROUTE.withRegions(Set.of("other region")), server);
-      assertEquals(Requests.ask(environment).join().status().code(), 503);
+      assertEquals(Requests.send(environment).join().status().code(), 503);
       assertEquals(server.received().size(), 0);
       environment.loop().stop();
     }
--- a/front/src/test/java/org/magnoliaswitch/front/request/ExchangeTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/ExchangeTest.java
@@ -54,7 +54,7 @@
             r.write("HTTP/1.1 200 X\r\nRequest-Id: " + r.header("Request-Id") + "\r\n\r\nabc");
             return false;
           };
-      Script unconfirmed = r -> r.answer(503, "busy");
+      Script unconfirmed = r -> r.respond(503, "busy");
       Script notExecuted =
           r -> {
             r.write("HTTP/1.1 503 X\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
@@ -68,14 +68,14 @@
       Script otherResponseFirst =
           r -> {
             r.write("HTTP/1.1 200 X\r\nRequest-Id: old\r\nContent-Length: 3\r\n\r\nold");
-            return r.answer(200, "own");
+            return r.respond(200, "own");
           };
       Script withoutId =
           r -> {
             r.write("HTTP/1.1 200 X\r\nContent-Length: 3\r\nConnection: close\r\n\r\nabc");
             return false;
           };
-      Script failed = r -> r.answer(500, "error");
+      Script failed = r -> r.respond(500, "error");
       return new Object[][] {
         {"truncated", truncated, 502},
         {"garbage", garbage, 502},
@@ -102,7 +102,7 @@
         String name, Script script, int expected) throws IOException {
       try (ScriptedServer server = new ScriptedServer("a", script)) {
         RunningFront front = new RunningFront(LONG_TIMEOUT_MILLIS, server);
-        String response = front.ask("POST", "/once/1", LONG_TIMEOUT_MILLIS);
+        String response = front.request("POST", "/once/1", LONG_TIMEOUT_MILLIS);
         assertEquals(status(response), expected, name + ": " + response);
         assertEquals(
             response.contains("Retry-After:") || response.contains("retry-after:"),
@@ -119,11 +119,11 @@
     public void idempotentRequestsAreServedByAnotherServer(String name, Script script, int expected)
         throws IOException {
       AtomicBoolean first = new AtomicBoolean(true);
-      Script once = r -> first.getAndSet(false) ? script.handle(r) : r.answer(200, "own");
+      Script once = r -> first.getAndSet(false) ? script.handle(r) : r.respond(200, "own");
       try (ScriptedServer a = new ScriptedServer("a", once);
           ScriptedServer b = new ScriptedServer("b", once)) {
         RunningFront front = new RunningFront(LONG_TIMEOUT_MILLIS, a, b);
-        assertEquals(status(front.ask("GET", "/safe/1", LONG_TIMEOUT_MILLIS)), 200, name);
+        assertEquals(status(front.request("GET", "/safe/1", LONG_TIMEOUT_MILLIS)), 200, name);
       }
     }
   }
@@ -132,9 +132,9 @@
   public static final class Deadlines {
     @Test
     public void serversReceiveTheRemainingTimeAndTheirId() throws IOException {
-      try (ScriptedServer server = new ScriptedServer("a", r -> r.answer(200, "x"))) {
+      try (ScriptedServer server = new ScriptedServer("a", r -> r.respond(200, "x"))) {
         RunningFront front = new RunningFront(700, server);
-        assertEquals(status(front.ask("GET", "/safe/1", 900)), 200);
+        assertEquals(status(front.request("GET", "/safe/1", 900)), 200);
         ScriptedServer.Received request = server.received().getFirst();
         long remainingMillis = Long.parseLong(request.header("Deadline-Millis"));
         assertTrue(
@@ -158,10 +158,10 @@
             return false;
           };
       try (ScriptedServer hung = new ScriptedServer("a", unresponsive);
-          ScriptedServer healthy = new ScriptedServer("b", r -> r.answer(200, "x"))) {
+          ScriptedServer healthy = new ScriptedServer("b", r -> r.respond(200, "x"))) {
         RunningFront front = new RunningFront(3_000, hung, healthy);
         for (int i = 0; i < 6; i++) {
-          assertEquals(status(front.ask("GET", "/safe/" + i, LONG_TIMEOUT_MILLIS)), 200);
+          assertEquals(status(front.request("GET", "/safe/" + i, LONG_TIMEOUT_MILLIS)), 200);
         }
         assertTrue(hung.received().size() <= 2, "the hung server received more than two requests");
       }
@@ -179,7 +179,7 @@
           };
       try (ScriptedServer server = new ScriptedServer("a", unresponsive)) {
         RunningFront front = new RunningFront(200, server);
-        assertEquals(status(front.ask("POST", "/once/1", LONG_TIMEOUT_MILLIS)), 504);
+        assertEquals(status(front.request("POST", "/once/1", LONG_TIMEOUT_MILLIS)), 504);
       }
     }
   }
@@ -223,7 +223,7 @@
             } else {
               others.countDown();
             }
-            return r.answer(200, "<" + r.line().split(" ", -1)[1] + ">");
+            return r.respond(200, "<" + r.line().split(" ", -1)[1] + ">");
           };
       try (ScriptedServer server = new ScriptedServer("a", script);
           Socket caller = new RunningFront(60_000, server).connect()) {
@@ -248,7 +248,7 @@
 
     @Test(dataProvider = "malformed")
     public void malformedRequestsAreRefusedAndReachNoServer(String bytes) throws IOException {
-      try (ScriptedServer server = new ScriptedServer("a", r -> r.answer(200, "x"));
+      try (ScriptedServer server = new ScriptedServer("a", r -> r.respond(200, "x"));
           Socket caller = new RunningFront(LONG_TIMEOUT_MILLIS, server).connect()) {
         caller.getOutputStream().write(bytes.getBytes(java.nio.charset.StandardCharsets.US_ASCII));
         String response =
@@ -261,9 +261,9 @@
 
     @Test
     public void aPathWithoutARouteIsNotFound() throws IOException {
-      try (ScriptedServer server = new ScriptedServer("a", r -> r.answer(200, "x"))) {
+      try (ScriptedServer server = new ScriptedServer("a", r -> r.respond(200, "x"))) {
         assertEquals(
-            status(new RunningFront(LONG_TIMEOUT_MILLIS, server).ask("GET", "/no/", 100)), 404);
+            status(new RunningFront(LONG_TIMEOUT_MILLIS, server).request("GET", "/no/", 100)), 404);
       }
     }
   }
@@ -296,7 +296,7 @@
       Script script =
           r -> {
             released.await();
-            return r.answer(200, "done");
+            return r.respond(200, "done");
           };
       try (ScriptedServer server = new ScriptedServer("a", script)) {
         RunningFront front = new RunningFront(60_000, server);
--- a/front/src/test/java/org/magnoliaswitch/front/request/FirstConfigurationWaitTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/FirstConfigurationWaitTest.java
@@ -50,7 +50,7 @@
    */
   @Test
   public void requestsWaitForTheFirstConfiguration() throws IOException, InterruptedException {
-    try (ScriptedServer server = new ScriptedServer("a", r -> r.answer(200, "x"))) {
+    try (ScriptedServer server = new ScriptedServer("a", r -> r.respond(200, "x"))) {
       Environment environment = TestEnvironment.withoutConfiguration();
       BlockingQueue<CallerResponse> responses = dispatch(environment);
       environment.loop().execute(() -> TestEnvironment.configure(environment, ROUTE, server));
--- a/front/src/test/java/org/magnoliaswitch/front/request/LeavingServerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/LeavingServerTest.java
@@ -23,12 +23,12 @@
   private static final Route IDEMPOTENT_ROUTE = Requests.route(true);
 
   private static boolean leaving(ScriptedServer.Received request) throws IOException {
-    return request.answerWith(200, "Leaving: 1", "Load: 0,0,6,100");
+    return request.respondWith(200, "Leaving: 1", "Load: 0,0,6,100");
   }
 
   /** Reports more load than the server that leaves. */
   private static boolean staying(ScriptedServer.Received request) throws IOException {
-    return request.answerWith(200, "Load: 3,0,6,100");
+    return request.respondWith(200, "Load: 3,0,6,100");
   }
 
   private static void applyServerList(Environment environment, long version, ServerEntry... entries)
@@ -50,7 +50,7 @@
 
   private static void sendRequests(Environment environment) {
     for (int i = 0; i < REQUESTS; i++) {
-      assertEquals(Requests.ask(environment).join().status().code(), 200);
+      assertEquals(Requests.send(environment).join().status().code(), 200);
     }
   }
 
@@ -60,7 +60,7 @@
     try (ScriptedServer leaving = new ScriptedServer("a", LeavingServerTest::leaving);
         ScriptedServer staying = new ScriptedServer("b", LeavingServerTest::staying)) {
       Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, leaving);
-      assertEquals(Requests.ask(environment).join().status().code(), 200);
+      assertEquals(Requests.send(environment).join().status().code(), 200);
       applyServerList(environment, 2, leaving.entry(), staying.entry());
       sendRequests(environment);
       assertEquals(leaving.received().size(), 1);
@@ -77,7 +77,7 @@
     try (ScriptedServer leaving = new ScriptedServer("a", LeavingServerTest::leaving);
         ScriptedServer staying = new ScriptedServer("b", LeavingServerTest::staying)) {
       Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, leaving);
-      assertEquals(Requests.ask(environment).join().status().code(), 200);
+      assertEquals(Requests.send(environment).join().status().code(), 200);
       applyServerList(environment, 2, staying.entry());
       applyServerList(environment, 3, leaving.entry(), staying.entry());
       sendRequests(environment);
@@ -92,7 +92,7 @@
     try (ScriptedServer leaving = new ScriptedServer("a", LeavingServerTest::leaving);
         ScriptedServer restarted = new ScriptedServer("a", LeavingServerTest::staying)) {
       Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, leaving);
-      assertEquals(Requests.ask(environment).join().status().code(), 200);
+      assertEquals(Requests.send(environment).join().status().code(), 200);
       applyServerList(environment, 2, Servers.restarted(restarted.entry()));
       sendRequests(environment);
       assertEquals(restarted.received().size(), REQUESTS);
--- a/front/src/test/java/org/magnoliaswitch/front/request/LimitedServerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/LimitedServerTest.java
@@ -43,11 +43,11 @@
     if (!request.line().contains("/health")) {
       arrivals.add(clocks.nanos());
     }
-    return request.answerWith(200, "Request-Limit: " + LIMIT_PER_SECOND, "Load: 0,0,6,100");
+    return request.respondWith(200, "Request-Limit: " + LIMIT_PER_SECOND, "Load: 0,0,6,100");
   }
 
   private static boolean halfLoaded(ScriptedServer.Received request) throws IOException {
-    return request.answerWith(200, "Load: 3,0,6,100");
+    return request.respondWith(200, "Load: 3,0,6,100");
   }
 
   /**
@@ -60,7 +60,7 @@
         ScriptedServer other = new ScriptedServer("b", LimitedServerTest::halfLoaded)) {
       List<RunningFront> fronts = RunningFront.group(INSTANCES, 10_000, limited, other);
       for (int i = 0; i < REQUESTS; i++) {
-        String response = fronts.get(i % INSTANCES).ask("GET", "/safe/" + i, 10_000);
+        String response = fronts.get(i % INSTANCES).request("GET", "/safe/" + i, 10_000);
         assertTrue(response.startsWith("HTTP/1.1 200"), response);
       }
       long most = Bursts.maxInWindow(arrivals, SPAN_NANOS);
@@ -79,12 +79,12 @@
     ScriptedServer.Script script =
         request -> {
           boolean first = requests.getAndIncrement() == 0;
-          return first ? limited(request) : request.answerWith(503, "Not-Run: 1");
+          return first ? limited(request) : request.respondWith(503, "Not-Run: 1");
         };
     try (ScriptedServer server = new ScriptedServer("a", script)) {
       Environment environment = TestEnvironment.with(Requests.route(true), server);
-      assertEquals(Requests.ask(environment).join().status().code(), 200);
-      assertEquals(Requests.ask(environment).join().status().code(), 503);
+      assertEquals(Requests.send(environment).join().status().code(), 200);
+      assertEquals(Requests.send(environment).join().status().code(), 503);
       ServerState state = environment.servers().of("s").getFirst().state();
       assertTrue(state.backpressure().requestsPerSecond().isPresent());
       environment.loop().stop();
@@ -112,7 +112,7 @@
       environment
           .routes()
           .set(new RouteTable(2, List.of(route), List.of(policy), CallerLimits.DEFAULT));
-      assertEquals(Requests.ask(environment).join().status().code(), 200);
+      assertEquals(Requests.send(environment).join().status().code(), 200);
       assertEquals(server.received().size(), 1);
       assertEquals(healthChecks.get(), 1, "health checks besides the one that stated the limit");
       environment.loop().stop();
--- a/front/src/test/java/org/magnoliaswitch/front/request/OverdueRequestTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/OverdueRequestTest.java
@@ -90,7 +90,7 @@
                   r.awaitClose();
                   return false;
                 });
-        ScriptedServer healthy = new ScriptedServer("b", r -> r.answer(200, "x"))) {
+        ScriptedServer healthy = new ScriptedServer("b", r -> r.respond(200, "x"))) {
       Environment environment = TestEnvironment.with(ROUTE, hung, healthy);
       ServerState first = state(environment, "a");
       DelayedFinder finder = new DelayedFinder(first, state(environment, "b"), new int[1], 2);
@@ -116,7 +116,7 @@
   public void forwardsAFailureWhenNoSecondServerHasCapacity()
       throws IOException, InterruptedException {
     BlockingQueue<CallerResponse> responses = new ArrayBlockingQueue<>(1);
-    try (ScriptedServer failing = new ScriptedServer("a", r -> r.answer(500, "reason"))) {
+    try (ScriptedServer failing = new ScriptedServer("a", r -> r.respond(500, "reason"))) {
       Environment environment = TestEnvironment.with(SHORT_ROUTE, failing);
       ServerState server = state(environment, "a");
       // The second search and all later ones find nothing.
--- a/front/src/test/java/org/magnoliaswitch/front/request/PausedServerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/PausedServerTest.java
@@ -34,8 +34,8 @@
 
   private static boolean rejecting(ScriptedServer.Received request) throws IOException {
     return request.line().contains("/health")
-        ? request.answerWith(200, "Load: 0,0,6,100")
-        : request.answerWith(503, "Not-Run: 1", "Retry-After: 60", "Load: 0,0,6,100");
+        ? request.respondWith(200, "Load: 0,0,6,100")
+        : request.respondWith(503, "Not-Run: 1", "Retry-After: 60", "Load: 0,0,6,100");
   }
 
   private static void assertPauseRespected(ScriptedServer server) {
@@ -51,7 +51,7 @@
         ScriptedServer second = new ScriptedServer("b", PausedServerTest::rejecting)) {
       Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, first, second);
       for (int i = 0; i < REQUESTS; i++) {
-        assertEquals(Requests.ask(environment).join().status().code(), 503);
+        assertEquals(Requests.send(environment).join().status().code(), 503);
       }
       assertPauseRespected(first);
       assertPauseRespected(second);
@@ -65,7 +65,7 @@
     try (ScriptedServer rejecting = new ScriptedServer("a", PausedServerTest::rejecting)) {
       Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, rejecting);
       for (int i = 0; i < REQUESTS; i++) {
-        CallerResponse response = Requests.ask(environment).join();
+        CallerResponse response = Requests.send(environment).join();
         assertEquals(response.status().code(), 503);
         assertTrue(response.headers().contains("Retry-After"));
       }
@@ -84,7 +84,7 @@
     ScriptedServer.Script counting =
         request -> {
           healthChecks.incrementAndGet();
-          return request.answerWith(200, "Load: 0,0,6,100");
+          return request.respondWith(200, "Load: 0,0,6,100");
         };
     try (ScriptedServer server = new ScriptedServer("a", counting)) {
       Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, server);
@@ -94,7 +94,7 @@
           .set(
               new RouteTable(
                   2, List.of(NON_IDEMPOTENT_ROUTE), List.of(policy), CallerLimits.DEFAULT));
-      CompletableFuture<CallerResponse> response = Requests.ask(environment);
+      CompletableFuture<CallerResponse> response = Requests.send(environment);
       environment.loop().execute(() -> pause(environment));
       assertEquals(response.join().status().code(), 503);
       assertEquals(healthChecks.get(), 0);
--- a/front/src/test/java/org/magnoliaswitch/front/request/RestartedServerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/RestartedServerTest.java
@@ -23,7 +23,7 @@
 
 /** Requests in flight while their server restarts under the same id. */
 public final class RestartedServerTest {
-  private static final Script SUCCEED = request -> request.answer(200, "ok");
+  private static final Script SUCCEED = request -> request.respond(200, "ok");
   private static final Route NON_IDEMPOTENT_ROUTE = Requests.route(false);
   private static final Route IDEMPOTENT_ROUTE = Requests.route(true);
 
@@ -67,7 +67,7 @@
     try (ScriptedServer old = new ScriptedServer("a", crash);
         ScriptedServer restarted = new ScriptedServer("a", SUCCEED)) {
       Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, old);
-      CompletableFuture<CallerResponse> response = Requests.ask(environment);
+      CompletableFuture<CallerResponse> response = Requests.send(environment);
       old.awaitFirst();
       restart(environment, restarted);
       released.countDown();
@@ -96,7 +96,7 @@
         ScriptedServer restarted = new ScriptedServer("a", SUCCEED)) {
       Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, old);
       ServerState before = state(environment);
-      CompletableFuture<CallerResponse> response = Requests.ask(environment);
+      CompletableFuture<CallerResponse> response = Requests.send(environment);
       old.awaitFirst();
       restart(environment, restarted);
       released.countDown();
@@ -121,9 +121,9 @@
     try (ScriptedServer old = new ScriptedServer("a", SUCCEED);
         ScriptedServer restarted = new ScriptedServer("a", SUCCEED)) {
       Environment environment = TestEnvironment.with(NON_IDEMPOTENT_ROUTE, old);
-      assertEquals(Requests.ask(environment).join().status().code(), 200);
+      assertEquals(Requests.send(environment).join().status().code(), 200);
       restart(environment, restarted);
-      assertEquals(Requests.ask(environment).join().status().code(), 200);
+      assertEquals(Requests.send(environment).join().status().code(), 200);
       assertEquals(old.received().size(), 1);
       assertEquals(restarted.received().size(), 1);
       environment.loop().stop();
--- a/front/src/test/java/org/magnoliaswitch/front/request/WaitingRequestTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/WaitingRequestTest.java
@@ -62,7 +62,7 @@
   @Test
   public void aLateSearchResultDoesNotSendARequestAgain() throws IOException, InterruptedException {
     CountDownLatch answered = new CountDownLatch(1);
-    try (ScriptedServer server = new ScriptedServer("a", r -> r.answer(200, "x"))) {
+    try (ScriptedServer server = new ScriptedServer("a", r -> r.respond(200, "x"))) {
       Environment environment = TestEnvironment.with(ROUTE, server);
       PendingFinder finder = new PendingFinder();
       ServerState state = environment.servers().of("s").getFirst().state();
--- a/front/src/test/java/org/magnoliaswitch/front/testing/Requests.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/Requests.java
@@ -25,7 +25,7 @@
   }
 
   /** Starts a request; the future completes with the final response. */
-  public static CompletableFuture<CallerResponse> ask(Environment environment) {
+  public static CompletableFuture<CallerResponse> send(Environment environment) {
     CompletableFuture<CallerResponse> response = new CompletableFuture<>();
     CallerRequest request =
         new CallerRequest(
--- a/front/src/test/java/org/magnoliaswitch/front/testing/RunningFront.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/RunningFront.java
@@ -106,7 +106,7 @@
             (loop, log, metrics) -> new Fixed(routes, new ServerList(1, entries)));
     String response = "503";
     while (response.contains("no_configuration") || response.equals("503")) {
-      response = ask("GET", "/none/", 100);
+      response = request("GET", "/none/", 100);
     }
   }
 
@@ -127,7 +127,7 @@
   }
 
   /** Sends a request on a new connection and returns all bytes of the response. */
-  public String ask(String method, String path, long deadlineMillis) throws IOException {
+  public String request(String method, String path, long deadlineMillis) throws IOException {
     try (Socket socket = connect()) {
       send(socket, method, path, deadlineMillis, "Connection: close\r\n");
       return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
@@ -138,7 +138,7 @@
    * Sends a request on a new connection from the given address of the loopback range, and returns
    * all bytes of the response.
    */
-  public String askFrom(String address, String method, String path, long deadlineMillis)
+  public String requestFrom(String address, String method, String path, long deadlineMillis)
       throws IOException {
     InetAddress local = InetAddress.getByName(address);
     try (Socket socket = new Socket("127.0.0.1", front.callerAddress().getPort(), local, 0)) {
--- a/front/src/test/java/org/magnoliaswitch/front/testing/ScriptedServer.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/ScriptedServer.java
@@ -57,7 +57,7 @@
     }
 
     /** Writes a complete response that echoes the request's id. */
-    public boolean answer(int status, String body) throws IOException {
+    public boolean respond(int status, String body) throws IOException {
       write(
           "HTTP/1.1 %d X\r\nRequest-Id: %s\r\nContent-Length: %d\r\n\r\n%s"
               .formatted(status, header("Request-Id"), body.length(), body));
@@ -65,7 +65,7 @@
     }
 
     /** Writes a response without a body that echoes the request's id and has further headers. */
-    public boolean answerWith(int status, String... headers) throws IOException {
+    public boolean respondWith(int status, String... headers) throws IOException {
       String lines = Stream.of(headers).map(line -> line + "\r\n").collect(Collectors.joining());
       write(
           "HTTP/1.1 %d X\r\nRequest-Id: %s\r\n%sContent-Length: 0\r\n\r\n"
