--- a/front/src/main/java/org/magnoliaswitch/front/peer/RouteTableCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/RouteTableCodec.java
@@ -62,9 +62,9 @@
     out.packInt(route.priority());
     out.packInt(route.maxServers());
     out.packArrayHeader(route.services().size());
-    for (WeightedService part : route.services()) {
-      out.packString(part.service());
-      out.packDouble(part.weight());
+    for (WeightedService weighted : route.services()) {
+      out.packString(weighted.service());
+      out.packDouble(weighted.weight());
     }
   }
 
@@ -78,14 +78,14 @@
         in.unpackLong(),
         in.unpackInt(),
         in.unpackInt(),
-        readParts(in));
+        readWeightedServices(in));
   }
 
-  private static List<WeightedService> readParts(MessageUnpacker in) throws IOException {
-    List<WeightedService> parts = new ArrayList<>();
+  private static List<WeightedService> readWeightedServices(MessageUnpacker in) throws IOException {
+    List<WeightedService> services = new ArrayList<>();
     for (int remaining = in.unpackArrayHeader(); remaining > 0; remaining--) {
-      parts.add(new WeightedService(in.unpackString(), in.unpackDouble()));
+      services.add(new WeightedService(in.unpackString(), in.unpackDouble()));
     }
-    return parts;
+    return services;
   }
 }
--- a/front/src/test/java/org/magnoliaswitch/front/testing/TestEnvironment.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/TestEnvironment.java
@@ -84,14 +84,14 @@
   /** Settings of an instance without peers. */
   public static FrontSettings settings() {
     InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
-    SharedRetryBudget.Limits repeats =
+    SharedRetryBudget.Limits retryBudget =
         new SharedRetryBudget.Limits(0.5, 100, TimeUnit.SECONDS.toNanos(10));
-    return settings(any, List.of(), repeats);
+    return settings(any, List.of(), retryBudget);
   }
 
   /** Settings of an instance with a peer address and seeds. */
   public static FrontSettings settings(
-      InetSocketAddress peers, List<InetSocketAddress> seeds, SharedRetryBudget.Limits repeats) {
+      InetSocketAddress peers, List<InetSocketAddress> seeds, SharedRetryBudget.Limits retryBudget) {
     InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
     return new FrontSettings(
         "t",
@@ -103,7 +103,7 @@
         false,
         0,
         1,
-        repeats,
+        retryBudget,
         1,
         ColdShare.Bounds.NONE,
         Map.of("here", "region", "abroad", "other region"),
