--- a/core/src/test/java/org/magnoliaswitch/core/request/DispatcherTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/request/DispatcherTest.java
@@ -210,8 +210,7 @@
     public void hedgeAnswersBeforeSilentServer() throws Exception {
       RetryPolicy hedging = new RetryPolicy(0.1, 2, true, 0.95);
       try (TestSystem system =
-          new TestSystem(
-              3, n -> n == 0 ? new Action.Hang() : new Action.Send(COMPLETE), hedging)) {
+          new TestSystem(3, n -> n == 0 ? new Action.Hang() : new Action.Send(COMPLETE), hedging)) {
         assertEquals(system.send(Declarations.READ, 2_000).status(), 200);
         assertEquals(system.requests(), 2);
       }
@@ -246,7 +245,8 @@
      */
     @Test
     public void connectionIsNotReusedAfterTimeout() throws Exception {
-      try (TestSystem system = new TestSystem(1, n -> n == 0 ? new Action.Hang() : new Action.Send(COMPLETE))) {
+      try (TestSystem system =
+          new TestSystem(1, n -> n == 0 ? new Action.Hang() : new Action.Send(COMPLETE))) {
         system.send(Declarations.READ, 50);
         assertEquals(system.send(Declarations.READ, 500).status(), 200);
         assertEquals(system.connections(), 2);
--- a/core/src/test/java/org/magnoliaswitch/core/request/ServerChooserTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/request/ServerChooserTest.java
@@ -84,7 +84,9 @@
     load.requestStarted();
     load.requestStarted();
     assertEquals(
-        ServerChooser.expectedRequests(Declarations.FRESH_LOAD, load, 2.0, clock.read()), 4.0, 0.01);
+        ServerChooser.expectedRequests(Declarations.FRESH_LOAD, load, 2.0, clock.read()),
+        4.0,
+        0.01);
   }
 
   @Test
