--- a/core/src/main/java/org/magnoliaswitch/core/connection/ConnectionPool.java
+++ b/core/src/main/java/org/magnoliaswitch/core/connection/ConnectionPool.java
@@ -10,50 +10,52 @@
 import org.magnoliaswitch.core.clock.Clocks;
 
 /**
- * Connections of this instance to one backend server; the most recently used one is reused first.
+ * The connections of this instance to one backend server; the most recently used one is reused
+ * first.
  *
- * <p>A connection can go silent for good while new ones work, because something between the ends
- * forgot it. Two safeguards keep requests off such connections: idle ones are not reused after a
- * while, and one silence casts doubt on every sibling that has not carried an answer since it
- * began.
+ * <p>A connection can become permanently silent while new ones work, because a device on the
+ * network path has dropped its state. Two safeguards keep requests off such connections:
+ * connections that were idle for long are not reused, and an exchange without a response makes the
+ * pool distrust every connection that has not received a response since the exchange began.
  */
 public final class ConnectionPool {
-  /** Idle time after which a connection is closed instead of reused. */
+  /** Idle time after which a connection is closed instead of being reused. */
   private static final long MAX_IDLE_NANOS = 10_000_000_000L;
 
   private final InetSocketAddress address;
   private final Clocks clocks;
   private final AtomicInteger open = new AtomicInteger();
   private final AtomicInteger limit;
-  private final AtomicLong doubtedBeforeNanos;
+  private final AtomicLong distrustedBeforeNanos;
   private final ConcurrentLinkedDeque<BackendConnection> idle = new ConcurrentLinkedDeque<>();
 
   public ConnectionPool(InetSocketAddress address, int limit, Clocks clocks) {
     this.address = address;
     this.clocks = clocks;
     this.limit = new AtomicInteger(limit);
-    this.doubtedBeforeNanos = new AtomicLong(clocks.nanos());
+    this.distrustedBeforeNanos = new AtomicLong(clocks.nanos());
   }
 
   /** Thrown when this instance's share of the server's connections is in use. */
   public static final class PoolExhaustedException extends IOException {
     PoolExhaustedException(int limit) {
-      super("all " + limit + " connections are in use");
+      super("all " + limit + " connections to the server are in use");
     }
   }
 
   /**
-   * Takes an idle connection whose last answer is recent enough, or opens one.
+   * Acquires an idle connection whose last response is recent enough, or opens a new one.
    *
-   * @param maxIdleNanos oldest last answer to accept; requests that must not end with an unknown
-   *     outcome for nothing pass a small value
+   * @param maxIdleNanos maximum age of the last response on a reused connection; small for requests
+   *     that must not be executed twice, whose outcome would be unknown if the connection turned
+   *     out to be broken
    */
-  public BackendConnection take(long maxIdleNanos, int connectTimeoutMillis) throws IOException {
-    BackendConnection reused = reuse(Math.min(maxIdleNanos, MAX_IDLE_NANOS));
-    if (reused != null) {
-      return reused;
+  public BackendConnection acquire(long maxIdleNanos, int connectTimeoutMillis) throws IOException {
+    BackendConnection idleConnection = acquireIdle(Math.min(maxIdleNanos, MAX_IDLE_NANOS));
+    if (idleConnection != null) {
+      return idleConnection;
     }
-    if (open.incrementAndGet() > limit.get() && !closeOneIdle()) {
+    if (open.incrementAndGet() > limit.get() && !evictOldestIdle()) {
       open.decrementAndGet();
       throw new PoolExhaustedException(limit.get());
     }
@@ -66,8 +68,8 @@
   }
 
   /**
-   * Whether nobody listens at the server's address, as after the end of its process. No answer at
-   * all is not told from a cut path, and counts as a server that lives.
+   * Whether no process listens at the server's address, as after a crash. A connection attempt
+   * without any answer may be due to a broken network path, so that the server counts as running.
    */
   public boolean refusesConnections(int timeoutMillis) {
     try {
@@ -80,27 +82,31 @@
     }
   }
 
-  /** Gives back a connection whose exchange ended with a whole answer. */
-  public void giveBack(BackendConnection connection) {
-    connection.succeeded(clocks.nanos());
+  /** Returns a connection whose exchange ended with a complete response. */
+  public void release(BackendConnection connection) {
+    connection.recordSuccess(clocks.nanos());
     idle.addFirst(connection);
   }
 
   /**
-   * Closes a connection whose exchange did not end with a whole answer, or that may not be kept.
+   * Closes a connection whose exchange ended without a complete response, or that must not be
+   * reused.
    */
   public void discard(BackendConnection connection) {
     connection.abort();
     open.decrementAndGet();
   }
 
-  /** Closes on next sight all idle connections without an answer since the given time. */
-  public void doubt(long sinceNanos) {
-    doubtedBeforeNanos.accumulateAndGet(sinceNanos, (a, b) -> b - a > 0 ? b : a);
+  /**
+   * Distrusts all idle connections without a response since the given time; each is closed when the
+   * pool next encounters it.
+   */
+  public void distrustIdleSince(long sinceNanos) {
+    distrustedBeforeNanos.accumulateAndGet(sinceNanos, (a, b) -> b - a > 0 ? b : a);
   }
 
-  /** Closes connections that idled too long or are in doubt; called now and then. */
-  public void sweep() {
+  /** Closes connections that were idle too long or are distrusted; called periodically. */
+  public void evictUnusable() {
     for (BackendConnection connection : idle) {
       if (!usable(connection, MAX_IDLE_NANOS) && idle.remove(connection)) {
         discard(connection);
@@ -108,29 +114,29 @@
     }
   }
 
-  /** Changes this instance's share of the server's connections. */
+  /** Sets this instance's share of the server's connections. */
   public void limit(int connections) {
     limit.set(connections);
   }
 
-  /** Connections now open. */
+  /** Number of open connections. */
   public int openConnections() {
     return open.get();
   }
 
-  /** Closes all idle connections; those in use are closed by their exchanges. */
+  /** Closes all idle connections; connections in use are closed by their exchanges. */
   public void closeIdle() {
-    doubt(clocks.nanos());
-    sweep();
+    distrustIdleSince(clocks.nanos());
+    evictUnusable();
   }
 
-  private @Nullable BackendConnection reuse(long maxIdleNanos) {
+  private @Nullable BackendConnection acquireIdle(long maxIdleNanos) {
     for (BackendConnection next = idle.pollFirst(); next != null; next = idle.pollFirst()) {
       if (usable(next, maxIdleNanos)) {
         return next;
       }
       if (usable(next, MAX_IDLE_NANOS)) {
-        // Too old for this request only; all further ones are older still.
+        // Too old for this request only; the remaining connections are older.
         idle.addFirst(next);
         return null;
       }
@@ -139,7 +145,7 @@
     return null;
   }
 
-  private boolean closeOneIdle() {
+  private boolean evictOldestIdle() {
     BackendConnection oldest = idle.pollLast();
     if (oldest == null) {
       return false;
@@ -150,6 +156,6 @@
 
   private boolean usable(BackendConnection connection, long maxIdleNanos) {
     long last = connection.lastSuccessNanos();
-    return clocks.nanos() - last < maxIdleNanos && last - doubtedBeforeNanos.get() >= 0;
+    return clocks.nanos() - last < maxIdleNanos && last - distrustedBeforeNanos.get() >= 0;
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/ControlPlane.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ControlPlane.java
@@ -15,7 +15,7 @@
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.core.clock.HybridClock;
 import org.magnoliaswitch.core.peer.Address;
-import org.magnoliaswitch.core.peer.LeavingMark;
+import org.magnoliaswitch.core.peer.LeavingNotice;
 import org.magnoliaswitch.core.peer.Member;
 import org.magnoliaswitch.core.peer.PeerClient;
 import org.magnoliaswitch.core.peer.PeerMessage;
@@ -203,20 +203,20 @@
     }
   }
 
-  private void mergeInstanceList(List<InstanceList.Listed> listed) {
+  private void mergeInstanceList(List<InstanceList.ListedMachine> listed) {
     LeavingServers leaving = state.leaving();
     Set<String> leavingNow =
         listed.stream()
-            .filter(InstanceList.Listed::leaving)
-            .map(InstanceList.Listed::id)
+            .filter(InstanceList.ListedMachine::leaving)
+            .map(InstanceList.ListedMachine::id)
             .collect(Collectors.toSet());
     boolean changed = false;
     for (String id : leavingNow) {
-      changed |= recordLeaving(id, true, leaving.markLeaving(id, LeavingMark.Sign.LIST));
+      changed |= recordLeaving(id, true, leaving.markLeaving(id, LeavingNotice.Source.LIST));
     }
-    for (String id : leaving.leavingBy(LeavingMark.Sign.LIST)) {
+    for (String id : leaving.leavingBy(LeavingNotice.Source.LIST)) {
       if (!leavingNow.contains(id)) {
-        changed |= recordLeaving(id, false, leaving.markReturned(id, LeavingMark.Sign.LIST));
+        changed |= recordLeaving(id, false, leaving.markReturned(id, LeavingNotice.Source.LIST));
       }
     }
     if (changed) {
@@ -256,7 +256,7 @@
     if (leaving) {
       handle.pool().closeIdle();
     } else {
-      handle.pool().sweep();
+      handle.pool().evictUnusable();
     }
   }
 
--- a/core/src/main/java/org/magnoliaswitch/core/process/Membership.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Membership.java
@@ -55,7 +55,7 @@
 
   /** Returns this instance with a current heartbeat. */
   public Member self() {
-    return self.beat(clocks.millis(), leaving ? MemberState.LEAVING : MemberState.SERVING);
+    return self.withHeartbeat(clocks.millis(), leaving ? MemberState.LEAVING : MemberState.SERVING);
   }
 
   /** Marks this instance as leaving; cannot be undone. */
--- a/core/src/main/java/org/magnoliaswitch/core/request/AttemptRunner.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/AttemptRunner.java
@@ -10,7 +10,7 @@
 import org.jspecify.annotations.Nullable;
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.core.crash.Verdict;
-import org.magnoliaswitch.core.peer.LeavingMark;
+import org.magnoliaswitch.core.peer.LeavingNotice;
 import org.magnoliaswitch.core.process.EjectionPolicy;
 import org.magnoliaswitch.core.process.EventKind;
 import org.magnoliaswitch.core.process.LeavingServers;
@@ -20,51 +20,54 @@
 import org.magnoliaswitch.core.process.ServerHandle;
 import org.magnoliaswitch.core.process.Timeline;
 
-/** Runs one attempt at one server and learns from how it ended. */
+/** Sends a request to one server and updates the state of the server from the result. */
 public final class AttemptRunner {
-  /** Header by which the remaining time is passed on, in milliseconds. */
+  /** Request header with the time that remains before the deadline, in milliseconds. */
   public static final String DEADLINE_HEADER = "Request-Timeout-Ms";
 
-  /** Header by which the number of the attempt is passed on. */
+  /** Request header with the number of the attempt. */
   public static final String ATTEMPT_HEADER = "Request-Attempt";
 
-  /** Header that carries the request id. */
+  /** Request header with the id of the request. */
   public static final String ID_HEADER = "X-Request-Id";
 
   private static final int CONNECT_TIMEOUT_MILLIS = 250;
 
-  /** A connection that answered so recently is taken to be alive for work that must not be lost. */
+  /**
+   * Maximum time since the last answer on a connection that is reused for a request that must not
+   * be executed twice.
+   */
   private static final long FRESH_CONNECTION_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  private static final long ANY_IDLE_NANOS = Long.MAX_VALUE;
+  private static final long UNLIMITED_IDLE_NANOS = Long.MAX_VALUE;
 
   /**
-   * Servers are declared with an id that they keep over a restart, so an answer does not show that
-   * the process lives which was believed to have ended.
+   * Declared servers keep their id over a restart, so an answer does not show that a process which
+   * was presumed to have crashed is still running.
    */
   private static final String ANY_INCARNATION = "";
 
   private final Clocks clocks;
   private final Timeline timeline;
   private final LeavingServers leaving;
-  private final Runnable leavingNews;
+  private final Runnable onLeavingChange;
 
   public AttemptRunner(
-      Clocks clocks, Timeline timeline, LeavingServers leaving, Runnable leavingNews) {
+      Clocks clocks, Timeline timeline, LeavingServers leaving, Runnable onLeavingChange) {
     this.clocks = clocks;
     this.timeline = timeline;
     this.leaving = leaving;
-    this.leavingNews = leavingNews;
+    this.onLeavingChange = onLeavingChange;
   }
 
-  /** Called while an attempt waits longer than the hedge delay. */
+  /** Notified when an attempt has waited longer than the hedge delay. */
   @FunctionalInterface
-  public interface SlowListener {
-    /** Told once. */
-    void slow();
+  public interface SlowAttemptListener {
+    /** Called at most once for each attempt. */
+    void onSlow();
   }
 
-  /** One attempt that can be cancelled from another thread. */
+  /** One attempt, which can be cancelled by another thread. */
   public final class Attempt {
     private final InboundRequest request;
     private final ServerHandle server;
@@ -81,53 +84,55 @@
       this.exchange = new Exchange(server.pool(), request.deadline(), clocks);
     }
 
-    /** The server tried. */
+    /** The server to which the attempt is sent. */
     public ServerHandle server() {
       return server;
     }
 
-    /** Closes the connection under the attempt. */
+    /** Cancels the attempt by closing its connection. */
     public void cancel() {
       exchange.cancel();
     }
 
     /**
-     * Runs the attempt to its end.
+     * Sends the request and waits for the result.
      *
-     * @param slowAfterNanos wait after which the listener is told, {@link Long#MAX_VALUE} for never
+     * @param slowAfterNanos time without a response head after which the listener is notified,
+     *     {@link Long#MAX_VALUE} for never
      */
-    public AttemptResult run(long slowAfterNanos, SlowListener listener) {
+    public AttemptResult run(long slowAfterNanos, SlowAttemptListener listener) {
       long started = clocks.nanos();
       server.load().requestStarted();
-      event(EventKind.ATTEMPT_SENT, "attempt=" + number);
-      AttemptResult result = exchangeAll(slowAfterNanos, listener);
-      learn(result, started);
-      event(EventKind.ATTEMPT_ENDED, "attempt=" + number + " result=" + describe(result));
+      recordEvent(EventKind.ATTEMPT_SENT, "attempt=" + number);
+      AttemptResult result = performExchange(slowAfterNanos, listener);
+      recordResult(result, started);
+      recordEvent(EventKind.ATTEMPT_ENDED, "attempt=" + number + " result=" + describe(result));
       return result;
     }
 
-    private AttemptResult exchangeAll(long slowAfterNanos, SlowListener listener) {
+    private AttemptResult performExchange(long slowAfterNanos, SlowAttemptListener listener) {
       try {
         exchange.connect(
-            request.idempotent() ? ANY_IDLE_NANOS : FRESH_CONNECTION_NANOS, CONNECT_TIMEOUT_MILLIS);
+            request.idempotent() ? UNLIMITED_IDLE_NANOS : FRESH_CONNECTION_NANOS,
+            CONNECT_TIMEOUT_MILLIS);
         Verdict verdict = crashes.admit();
         if (verdict == Verdict.REFUSED || verdict == Verdict.WAIT) {
           exchange.fail();
-          return new AttemptResult.NotSent(Dispatcher.ENDS_SERVERS);
+          return new AttemptResult.NotSent(Dispatcher.CRASHES_SERVERS);
         }
         warned = verdict == Verdict.TRIAL;
-        exchange.send(Exchange.outbound(request, passedOn()));
+        exchange.send(Exchange.outbound(request, requestHeaders()));
         Exchange.Head head = awaitHead(slowAfterNanos, listener);
         if (head == null) {
           exchange.fail();
           return new AttemptResult.TimedOut();
         }
-        report(head);
+        recordLoadReport(head);
         Reply reply = exchange.receive(head, request.method());
         if (!request.service().profile().refusalStatuses().contains(reply.status())) {
           return new AttemptResult.Answered(reply);
         }
-        notePause(head);
+        applyRetryAfter(head);
         return new AttemptResult.Refused(reply.status());
       } catch (IOException | HttpException e) {
         exchange.fail();
@@ -135,18 +140,18 @@
       }
     }
 
-    private Exchange.@Nullable Head awaitHead(long slowAfterNanos, SlowListener listener)
+    private Exchange.@Nullable Head awaitHead(long slowAfterNanos, SlowAttemptListener listener)
         throws IOException, HttpException {
       Exchange.Head head = exchange.awaitHead(slowAfterNanos);
       if (head != null || request.deadline().expired(clocks.nanos())) {
         return head;
       }
-      listener.slow();
+      listener.onSlow();
       return exchange.awaitHead(Long.MAX_VALUE);
     }
 
     private AttemptResult failure(Exception cause) {
-      if (!exchange.bytesMayHaveLeft()) {
+      if (!exchange.mayHaveSentBytes()) {
         return new AttemptResult.NotSent(cause.toString());
       }
       return request.deadline().expired(clocks.nanos())
@@ -154,41 +159,43 @@
           : new AttemptResult.Broken(cause.toString());
     }
 
-    private List<Field> passedOn() {
-      long left = TimeUnit.NANOSECONDS.toMillis(request.deadline().remaining(clocks.nanos()));
+    private List<Field> requestHeaders() {
+      long remainingMillis =
+          TimeUnit.NANOSECONDS.toMillis(request.deadline().remaining(clocks.nanos()));
       List<Field> fields = new ArrayList<>();
       fields.add(new Field("Host", server.server().host() + ':' + server.server().port()));
       fields.add(new Field(ID_HEADER, request.id()));
-      fields.add(new Field(DEADLINE_HEADER, String.valueOf(Math.max(1, left))));
+      fields.add(new Field(DEADLINE_HEADER, String.valueOf(Math.max(1, remainingMillis))));
       int attempt = Math.max(number, request.attempt().number());
       fields.add(new Field(ATTEMPT_HEADER, String.valueOf(attempt)));
       return fields;
     }
 
-    private void report(Exchange.Head head) {
+    private void recordLoadReport(Exchange.Head head) {
       var header = head.response().getFirstHeader(LoadReport.HEADER);
       if (header == null || header.getValue() == null) {
         return;
       }
-      Optional<LoadReport> report = LoadReport.parse(header.getValue());
-      report.ifPresent(
-          told -> {
-            server.load().recordReport(told, clocks.nanos());
-            request.service().admission().recordReport(told);
-            noteLeaving(told.draining());
+      Optional<LoadReport> parsed = LoadReport.parse(header.getValue());
+      parsed.ifPresent(
+          report -> {
+            server.load().recordReport(report, clocks.nanos());
+            request.service().admission().recordReport(report);
+            updateLeaving(report.draining());
           });
     }
 
-    private void notePause(Exchange.Head head) {
+    private void applyRetryAfter(Exchange.Head head) {
       var header = head.response().getFirstHeader(RetryAfterHeader.NAME);
       OptionalLong nanos = RetryAfterHeader.nanos(header == null ? null : header.getValue());
       if (nanos.isPresent()) {
         server.load().extendPause(nanos.getAsLong(), clocks.nanos());
-        event(EventKind.SERVER_PAUSED, "ms=" + TimeUnit.NANOSECONDS.toMillis(nanos.getAsLong()));
+        recordEvent(
+            EventKind.SERVER_PAUSED, "ms=" + TimeUnit.NANOSECONDS.toMillis(nanos.getAsLong()));
       }
     }
 
-    private void learn(AttemptResult result, long started) {
+    private void recordResult(AttemptResult result, long started) {
       long now = clocks.nanos();
       switch (result) {
         case AttemptResult.Answered answered -> {
@@ -206,45 +213,49 @@
           ejectIfNeeded(now);
         }
         case AttemptResult.Broken broken -> {
-          failedOrCancelled(now, started);
+          recordBroken(now, started);
         }
         case AttemptResult.TimedOut timedOut -> {
           server.load().recordSlow(now - started);
           server.load().recordAbandoned();
-          suspectSilence(started);
+          recordSilence(started);
         }
       }
     }
 
-    private void failedOrCancelled(long now, long started) {
+    private void recordBroken(long now, long started) {
       if (exchange.wasCancelled()) {
-        // The other attempt won. How long this one took is a first-hand sign of a slow server.
+        // The other of two hedged attempts answered first, so the time that this one took shows
+        // that its server is slow.
         server.load().recordSlow(now - started);
         server.load().recordAbandoned();
       } else {
         server.load().recordFailure();
         ejectIfNeeded(now);
-        lookWhetherEnded();
+        checkCrashed();
       }
     }
 
     /**
-     * Whether the server's process is gone shows by the next connection: one that lives takes it.
+     * Checks whether the server's process has exited: a running process accepts a new connection.
      */
-    private void lookWhetherEnded() {
+    private void checkCrashed() {
       crashes.mayHaveCrashed(server.id());
-      boolean ended = server.pool().refusesConnections(CONNECT_TIMEOUT_MILLIS);
-      crashes.recordConnectCheck(server.id(), ended, warned);
-      if (ended) {
+      boolean crashed = server.pool().refusesConnections(CONNECT_TIMEOUT_MILLIS);
+      crashes.recordConnectCheck(server.id(), crashed, warned);
+      if (crashed) {
         String identity = crashes.identities().content().toString();
-        event(EventKind.SERVER_ENDED, "identity=" + identity + " warned=" + warned);
+        recordEvent(EventKind.SERVER_ENDED, "identity=" + identity + " warned=" + warned);
       }
     }
 
-    /** An exchange without any sign of life casts doubt on connections of the same age. */
-    private void suspectSilence(long started) {
-      server.pool().doubt(started);
-      event(EventKind.CONNECTION_SILENT, "attempt=" + number);
+    /**
+     * Records an exchange without a response. Idle connections without an answer since it began may
+     * be silent too and are not reused.
+     */
+    private void recordSilence(long started) {
+      server.pool().distrustIdleSince(started);
+      recordEvent(EventKind.CONNECTION_SILENT, "attempt=" + number);
     }
 
     private void ejectIfNeeded(long now) {
@@ -253,27 +264,27 @@
               ejection -> {
                 server.load().eject(ejection);
                 server.load().resetFailures();
-                event(EventKind.SERVER_EJECTED, "count=" + ejection.count());
+                recordEvent(EventKind.SERVER_EJECTED, "count=" + ejection.count());
               });
     }
 
-    private void noteLeaving(boolean draining) {
-      boolean news =
+    private void updateLeaving(boolean draining) {
+      boolean changed =
           draining
-              ? leaving.markLeaving(server.id(), LeavingMark.Sign.REPORT)
-              : leaving.markReturned(server.id(), LeavingMark.Sign.REPORT);
-      if (news) {
-        event(EventKind.SERVER_LEAVING, "sign=report leaving=" + draining);
-        leavingNews.run();
+              ? leaving.markLeaving(server.id(), LeavingNotice.Source.REPORT)
+              : leaving.markReturned(server.id(), LeavingNotice.Source.REPORT);
+      if (changed) {
+        recordEvent(EventKind.SERVER_LEAVING, "sign=report leaving=" + draining);
+        onLeavingChange.run();
       }
     }
 
-    private void event(EventKind kind, String detail) {
+    private void recordEvent(EventKind kind, String detail) {
       timeline.record(kind, request.id(), request.service().service().name(), server.id(), detail);
     }
   }
 
-  /** Prepares an attempt. */
+  /** Creates an attempt without starting it. */
   public Attempt prepare(
       InboundRequest request, ServerHandle server, int number, RequestCrashes crashes) {
     return new Attempt(request, server, number, crashes);
--- a/core/src/test/java/org/magnoliaswitch/core/operator/SpreadTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/operator/SpreadTest.java
@@ -18,7 +18,7 @@
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.core.crash.RequestIdentity;
 import org.magnoliaswitch.core.peer.Address;
-import org.magnoliaswitch.core.peer.LeavingMark;
+import org.magnoliaswitch.core.peer.LeavingNotice;
 import org.magnoliaswitch.core.peer.PeerSecret;
 import org.magnoliaswitch.core.process.ControlPlane;
 import org.magnoliaswitch.core.process.GossipSettings;
@@ -62,7 +62,7 @@
     change(0, "first", 8001);
     await(() -> instances.stream().allMatch(i -> version(i) == 1));
     change(1, "second", 8002);
-    platform.down(true);
+    platform.setUnavailable(true);
     await(() -> instances.stream().allMatch(i -> version(i) == 2));
   }
 
@@ -76,7 +76,7 @@
     change(0, "first", 8001);
     change(0, "second", 8002);
     await(() -> instances.stream().allMatch(i -> version(i) == 2));
-    platform.down(true);
+    platform.setUnavailable(true);
     start(1);
     await(() -> instances.getLast().ready());
     assertEquals(version(instances.getLast()), 2);
@@ -84,7 +84,7 @@
 
   @Test
   public void anInstanceWithNeitherStoreNorPeersIsNotReady() throws Exception {
-    platform.down(true);
+    platform.setUnavailable(true);
     start(1);
     instances.getFirst().catchUp();
     assertFalse(instances.getFirst().ready());
@@ -93,9 +93,9 @@
   @Test
   public void anOperatorsWordSpreadsWithoutTheStore() throws Exception {
     start(4);
-    platform.down(true);
+    platform.setUnavailable(true);
     await(() -> instances.stream().allMatch(i -> i.state().membership().size() == 4));
-    instances.getFirst().state().leaving().markLeaving("server-1", LeavingMark.Sign.OPERATOR);
+    instances.getFirst().state().leaving().markLeaving("server-1", LeavingNotice.Source.OPERATOR);
     instances.getFirst().gossip().pushUpdate();
     await(() -> instances.stream().allMatch(i -> i.state().leaving().leaving("server-1")));
   }
@@ -108,7 +108,7 @@
   public void endsOfServersAreKnownEverywhere() throws Exception {
     RequestIdentity request = new RequestIdentity(1, 2);
     start(4);
-    platform.down(true);
+    platform.setUnavailable(true);
     await(() -> instances.stream().allMatch(i -> i.state().membership().size() == 4));
     for (int i = 0; i < 3; i++) {
       instances.get(i).state().crashes().recordCrash(List.of(request), "server-" + i, i == 2);
@@ -172,7 +172,7 @@
     Map<String, String> parts = new TreeMap<>();
     Declarations.parts(Declarations.profile(), Declarations.service(port))
         .forEach((path, content) -> parts.put(path, new String(content, StandardCharsets.UTF_8)));
-    return new ChangeService(at).change(new ChangeRequest(base, id, "test", "", parts));
+    return new ChangeService(at).submit(new ChangeRequest(base, id, "test", "", parts));
   }
 
   private static long version(ControlPlane instance) {
--- a/core/src/test/java/org/magnoliaswitch/core/process/LeavingServersTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/LeavingServersTest.java
@@ -5,8 +5,8 @@
 import static org.testng.Assert.assertTrue;
 
 import java.time.Duration;
-import org.magnoliaswitch.core.peer.LeavingMark;
-import org.magnoliaswitch.core.peer.LeavingMark.Sign;
+import org.magnoliaswitch.core.peer.LeavingNotice;
+import org.magnoliaswitch.core.peer.LeavingNotice.Source;
 import org.magnoliaswitch.core.testing.ManualClock;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -24,8 +24,8 @@
 
   @Test
   public void onlyTheFirstSignIsPublished() {
-    assertTrue(leaving.markLeaving("a", Sign.REPORT));
-    assertFalse(leaving.markLeaving("a", Sign.REPORT));
+    assertTrue(leaving.markLeaving("a", Source.REPORT));
+    assertFalse(leaving.markLeaving("a", Source.REPORT));
   }
 
   /**
@@ -35,7 +35,7 @@
    */
   @Test
   public void peersCannotKeepAMarkAlive() {
-    LeavingMark mark = new LeavingMark("b", Sign.REPORT, time.millis(), true);
+    LeavingNotice mark = new LeavingNotice("b", Source.REPORT, time.millis(), true);
     for (int i = 0; i < 40; i++) {
       leaving.merge(mark);
       time.advance(Duration.ofSeconds(1));
@@ -49,32 +49,32 @@
    */
   @Test
   public void aServerThatReturnsGetsRequestsAgain() {
-    leaving.markLeaving("c", Sign.REPORT);
+    leaving.markLeaving("c", Source.REPORT);
     time.advance(Duration.ofSeconds(1));
-    assertTrue(leaving.markReturned("c", Sign.REPORT));
+    assertTrue(leaving.markReturned("c", Source.REPORT));
     assertFalse(leaving.leaving("c"));
   }
 
   @Test
   public void theServersOwnReportDoesNotOverrideTheList() {
-    leaving.markLeaving("d", Sign.LIST);
+    leaving.markLeaving("d", Source.LIST);
     time.advance(Duration.ofSeconds(1));
-    leaving.markReturned("d", Sign.REPORT);
+    leaving.markReturned("d", Source.REPORT);
     assertTrue(leaving.leaving("d"));
   }
 
   /** An old mark that the server is leaving arrives after the mark of its return. */
   @Test
   public void theLatestMarkWinsInAnyOrder() {
-    leaving.merge(new LeavingMark("e", Sign.REPORT, time.millis() + 5, false));
-    leaving.merge(new LeavingMark("e", Sign.REPORT, time.millis(), true));
+    leaving.merge(new LeavingNotice("e", Source.REPORT, time.millis() + 5, false));
+    leaving.merge(new LeavingNotice("e", Source.REPORT, time.millis(), true));
     assertFalse(leaving.leaving("e"));
   }
 
   @Test
   public void limitsTheMarksPerMessage() {
     for (int i = 0; i < 100; i++) {
-      leaving.markLeaving("server-" + i, Sign.LIST);
+      leaving.markLeaving("server-" + i, Source.LIST);
     }
     assertEquals(leaving.recent().size(), 12);
   }
--- a/core/src/test/java/org/magnoliaswitch/core/testing/Declarations.java
+++ b/core/src/test/java/org/magnoliaswitch/core/testing/Declarations.java
@@ -10,7 +10,7 @@
 import org.magnoliaswitch.core.version.Execution;
 import org.magnoliaswitch.core.version.Json;
 import org.magnoliaswitch.core.version.KeyPolicy;
-import org.magnoliaswitch.core.version.MeasuringBudget;
+import org.magnoliaswitch.core.version.ProbeBudget;
 import org.magnoliaswitch.core.version.Profile;
 import org.magnoliaswitch.core.version.RequestKind;
 import org.magnoliaswitch.core.version.RetryPolicy;
@@ -29,7 +29,7 @@
       new RequestKind("book", "POST", "/book", Execution.AT_MOST_ONCE, 10, 2_000);
 
   /** The product's own routing policy. */
-  public static final RoutingPolicy.FreshLoad FRESH = new RoutingPolicy.FreshLoad(5, 60, 2);
+  public static final RoutingPolicy.FreshLoad FRESH_LOAD = new RoutingPolicy.FreshLoad(5, 60, 2);
 
   private Declarations() {}
 
@@ -37,8 +37,8 @@
   public static Profile profile() {
     return new Profile(
         "standard",
-        FRESH,
-        new MeasuringBudget(5, 40),
+        FRESH_LOAD,
+        new ProbeBudget(5, 40),
         new AdmissionPolicy(1.5, 100, true),
         new RetryPolicy(0.1, 3, false, 0.95),
         new KeyPolicy(true, 900, 5, true),
