--- a/core/src/main/java/org/magnoliaswitch/core/process/ConfigurationFollower.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ConfigurationFollower.java
@@ -72,7 +72,7 @@
       byte[] content = contents.get(digest);
       // The digest is verified, so that corrupted content of a peer does not spread.
       if (content == null || !Digest.of(content).equals(digest)) {
-        throw new IOException("content " + digest + " is missing or does not match its digest");
+        throw new IOException("content " + digest + " is not there");
       }
       cache.put(content);
     }
--- a/core/src/main/java/org/magnoliaswitch/core/process/ConfigurationStore.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ConfigurationStore.java
@@ -158,7 +158,7 @@
     try {
       return Json.MAPPER.readValue(row.value(), Head.class);
     } catch (IOException e) {
-      throw new PlatformException("no version can be read from row " + row.key(), e);
+      throw new PlatformException("unreadable row " + row.key(), e);
     }
   }
 
--- a/core/src/main/java/org/magnoliaswitch/core/process/CurrentVersion.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/CurrentVersion.java
@@ -63,7 +63,7 @@
   /** Reads a cached manifest. */
   public Manifest manifest(String manifestDigest) throws IOException {
     byte[] content =
-        cache.get(manifestDigest).orElseThrow(() -> new IOException("the manifest is not cached"));
+        cache.get(manifestDigest).orElseThrow(() -> new IOException("manifest not held"));
     return Json.MAPPER.readValue(content, Manifest.class);
   }
 
@@ -81,9 +81,7 @@
     for (Map.Entry<String, String> part : manifest.parts().entrySet()) {
       parts.put(
           part.getKey(),
-          cache
-              .get(part.getValue())
-              .orElseThrow(() -> new IOException("a manifest part is not cached")));
+          cache.get(part.getValue()).orElseThrow(() -> new IOException("part not held")));
     }
     try {
       Snapshot next = SnapshotParser.parse(manifest.version(), manifestDigest, parts);
