--- a/core/src/main/java/org/magnoliaswitch/core/request/AttemptRunner.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/AttemptRunner.java
@@ -102,7 +102,7 @@
      */
     public AttemptResult run(long slowAfterNanos, SlowAttemptListener listener) {
       long started = clocks.nanos();
-      server.load().sent();
+      server.load().requestStarted();
       recordEvent(EventKind.ATTEMPT_SENT, "attempt=" + number);
       AttemptResult result = performExchange(slowAfterNanos, listener);
       recordResult(result, started);
@@ -179,8 +179,8 @@
       Optional<LoadReport> parsed = LoadReport.parse(header.getValue());
       parsed.ifPresent(
           report -> {
-            server.load().reported(report, clocks.nanos());
-            request.service().admission().reported(report);
+            server.load().recordReport(report, clocks.nanos());
+            request.service().admission().recordReport(report);
             updateLeaving(report.draining());
           });
     }
@@ -189,7 +189,7 @@
       var header = head.response().getFirstHeader(RetryAfterHeader.NAME);
       OptionalLong nanos = RetryAfterHeader.nanos(header == null ? null : header.getValue());
       if (nanos.isPresent()) {
-        server.load().pause(nanos.getAsLong(), clocks.nanos());
+        server.load().extendPause(nanos.getAsLong(), clocks.nanos());
         recordEvent(
             EventKind.SERVER_PAUSED, "ms=" + TimeUnit.NANOSECONDS.toMillis(nanos.getAsLong()));
       }
@@ -199,25 +199,25 @@
       long now = clocks.nanos();
       switch (result) {
         case AttemptResult.Answered answered -> {
-          server.load().answered(now - started, now);
-          crashes.answered(ANY_INCARNATION, started);
+          server.load().recordSuccess(now - started, now);
+          crashes.recordAnswer(ANY_INCARNATION, started);
           request.service().counters().latency().add(now - started);
         }
         case AttemptResult.Refused refused -> {
-          server.load().failed();
-          request.service().admission().refused();
+          server.load().recordFailure();
+          request.service().admission().recordRejection();
           ejectIfNeeded(now);
         }
         case AttemptResult.NotSent notSent -> {
-          server.load().failed();
+          server.load().recordFailure();
           ejectIfNeeded(now);
         }
         case AttemptResult.Broken broken -> {
           recordBroken(now, started);
         }
         case AttemptResult.TimedOut timedOut -> {
-          server.load().slow(now - started);
-          server.load().abandoned();
+          server.load().recordSlow(now - started);
+          server.load().recordAbandoned();
           recordSilence(started);
         }
       }
@@ -227,10 +227,10 @@
       if (exchange.wasCancelled()) {
         // The other of two hedged attempts answered first, so the time that this one took shows
         // that its server is slow.
-        server.load().slow(now - started);
-        server.load().abandoned();
+        server.load().recordSlow(now - started);
+        server.load().recordAbandoned();
       } else {
-        server.load().failed();
+        server.load().recordFailure();
         ejectIfNeeded(now);
         checkCrashed();
       }
@@ -240,9 +240,9 @@
      * Checks whether the server's process has exited: a running process accepts a new connection.
      */
     private void checkCrashed() {
-      crashes.perhapsEnded(server.id());
+      crashes.mayHaveCrashed(server.id());
       boolean crashed = server.pool().refusesConnections(CONNECT_TIMEOUT_MILLIS);
-      crashes.lookedAt(server.id(), crashed, warned);
+      crashes.recordConnectCheck(server.id(), crashed, warned);
       if (crashed) {
         String identity = crashes.identities().content().toString();
         recordEvent(EventKind.SERVER_ENDED, "identity=" + identity + " warned=" + warned);
@@ -263,7 +263,7 @@
           .ifPresent(
               ejection -> {
                 server.load().eject(ejection);
-                server.load().forgive();
+                server.load().resetFailures();
                 recordEvent(EventKind.SERVER_EJECTED, "count=" + ejection.count());
               });
     }
@@ -271,8 +271,8 @@
     private void updateLeaving(boolean draining) {
       boolean changed =
           draining
-              ? leaving.noticed(server.id(), LeavingNotice.Source.REPORT)
-              : leaving.returned(server.id(), LeavingNotice.Source.REPORT);
+              ? leaving.markLeaving(server.id(), LeavingNotice.Source.REPORT)
+              : leaving.markReturned(server.id(), LeavingNotice.Source.REPORT);
       if (changed) {
         recordEvent(EventKind.SERVER_LEAVING, "sign=report leaving=" + draining);
         onLeavingChange.run();
--- a/core/src/main/java/org/magnoliaswitch/core/request/Dispatcher.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/Dispatcher.java
@@ -159,7 +159,7 @@
     Set<String> attemptedServers = new HashSet<>();
     AttemptResult result = new AttemptResult.NotSent("no eligible server");
     for (int number = 1; number <= policy.maxAttempts(); number++) {
-      if (number > 1 && !(mayRetry(request, result, outerRetry, crashes) && budget.spend())) {
+      if (number > 1 && !(mayRetry(request, result, outerRetry, crashes) && budget.trySpend())) {
         break;
       }
       Optional<ServerHandle> server = choose(service, attemptedServers);
@@ -187,10 +187,10 @@
       InboundRequest request, AttemptResult result, boolean outerRetry, RequestCrashes crashes) {
     return switch (result) {
       case AttemptResult.Answered answered -> false;
-      case AttemptResult.NotSent notSent -> crashes.mayRepeat();
+      case AttemptResult.NotSent notSent -> crashes.mayRetry();
       case AttemptResult.Refused refused -> !outerRetry && request.repeatable();
       case AttemptResult.Broken broken ->
-          !outerRetry && request.idempotent() && request.repeatable() && crashes.mayRepeat();
+          !outerRetry && request.idempotent() && request.repeatable() && crashes.mayRetry();
       case AttemptResult.TimedOut timedOut -> false;
     };
   }
@@ -258,14 +258,14 @@
       RequestCrashes crashes) {
     Optional<ServerHandle> other = choose(request.service(), attemptedServers);
     ServiceAdmission admission = request.service().admission();
-    if (other.isEmpty() || !admission.takeSpareRoom()) {
+    if (other.isEmpty() || !admission.tryAcquireSpare()) {
       return null;
     }
-    if (!budget.spend()) {
+    if (!budget.trySpend()) {
       admission.release();
       return null;
     }
-    first.server().load().slow(hedgeDelay(request, request.service().profile().retry()));
+    first.server().load().recordSlow(hedgeDelay(request, request.service().profile().retry()));
     attemptedServers.add(other.get().id());
     AttemptRunner.Attempt attempt = runner.prepare(request, other.get(), number + 1, crashes);
     CompletableFuture<AttemptResult> future = new CompletableFuture<>();
@@ -334,7 +334,7 @@
         service.profile().routing(),
         eligible,
         localDataCentre,
-        service.counters().turn(),
+        service.counters().roundRobin(),
         now,
         random.get());
   }
--- a/core/src/test/java/org/magnoliaswitch/core/process/ClaimBatcherTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/ClaimBatcherTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Claims that share transactions. */
+/** Tests claims that share transactions. */
 public final class ClaimBatcherTest {
   private FakePlatform platform = new FakePlatform();
   private ClaimBatcher batcher = new ClaimBatcher(platform);
@@ -31,36 +31,36 @@
       {Fault.NONE, Status.GRANTED},
       {Fault.ANSWER_LOST, Status.GRANTED},
       {Fault.DROPPED, Status.UNAVAILABLE},
-      {Fault.LANDS_LATE, Status.UNAVAILABLE},
+      {Fault.DELAYED, Status.UNAVAILABLE},
     };
   }
 
   @Test(dataProvider = "faults")
-  public void tellsWhatItKnows(Fault fault, Status expected) {
-    platform.next(fault);
+  public void reportsTheResultOfEachFault(Fault fault, Status expected) {
+    platform.queueFaults(fault);
     assertEquals(claim("k", "a").status(), expected);
   }
 
   /**
-   * A claim lands after its holder told the caller that keys cannot be claimed now. The caller
-   * comes back, to the same holder or to another one: the holder may execute, the other is sent to
-   * it.
+   * A claim is applied after its holder answered that keys cannot be claimed at present. The caller
+   * retries at the same instance or at another one: the holder may execute the key, the other
+   * instance is referred to it.
    */
   @Test
-  public void aClaimThatLandsLateStillBelongsToItsHolder() {
-    platform.next(Fault.LANDS_LATE);
+  public void aClaimAppliedLateStillBelongsToItsHolder() {
+    platform.queueFaults(Fault.DELAYED);
     claim("k", "a");
-    platform.landLateWrites();
+    platform.applyDelayedWrites();
     assertEquals(claim("k", "b").holder(), "a");
     assertEquals(claim("k", "a").status(), Status.GRANTED);
   }
 
   @Test
-  public void aClaimThatLandsLateCannotTakeAKeyFromAnother() {
-    platform.next(Fault.LANDS_LATE);
+  public void aClaimAppliedLateCannotTakeAKeyFromAnother() {
+    platform.queueFaults(Fault.DELAYED);
     claim("k", "a");
     claim("k", "b");
-    platform.landLateWrites();
+    platform.applyDelayedWrites();
     assertEquals(claim("k", "a").holder(), "b");
   }
 
--- a/core/src/test/java/org/magnoliaswitch/core/request/DispatcherTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/request/DispatcherTest.java
@@ -24,8 +24,8 @@
 import org.magnoliaswitch.core.process.ServiceState;
 import org.magnoliaswitch.core.process.Timeline;
 import org.magnoliaswitch.core.testing.Declarations;
-import org.magnoliaswitch.core.testing.RawServer;
-import org.magnoliaswitch.core.testing.RawServer.Answer;
+import org.magnoliaswitch.core.testing.ScriptedServer;
+import org.magnoliaswitch.core.testing.ScriptedServer.Action;
 import org.magnoliaswitch.core.version.Profile;
 import org.magnoliaswitch.core.version.RequestKind;
 import org.magnoliaswitch.core.version.RetryPolicy;
@@ -40,14 +40,14 @@
   private static final String CHUNKED =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n";
   private static final String REFUSED = "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n";
-  private static final Answer TRUNCATED =
-      new Answer.SendAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nwhole");
-  private static final Answer TRUNCATED_CHUNKS =
-      new Answer.SendAndClose(
+  private static final Action TRUNCATED =
+      new Action.SendAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nwhole");
+  private static final Action TRUNCATED_CHUNKS =
+      new Action.SendAndClose(
           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n");
-  private static final Answer NO_LENGTH = new Answer.SendAndClose("HTTP/1.1 200 OK\r\n\r\nwhole");
-  private static final Answer CLOSED = new Answer.SendAndClose("");
-  private static final Answer GARBAGE = new Answer.SendAndClose("\0\0 nonsense\r\n\r\n");
+  private static final Action NO_LENGTH = new Action.SendAndClose("HTTP/1.1 200 OK\r\n\r\nwhole");
+  private static final Action CLOSED = new Action.SendAndClose("");
+  private static final Action GARBAGE = new Action.SendAndClose("\0\0 nonsense\r\n\r\n");
 
   /** Servers that crash while serving a request. */
   public static final class CrashingServers {
@@ -79,7 +79,7 @@
     }
 
     private static void assertRejectedAfterFirstCrashes(RequestKind kind) throws Exception {
-      try (TestSystem system = new TestSystem(ATTEMPTS + 2, n -> new Answer.End())) {
+      try (TestSystem system = new TestSystem(ATTEMPTS + 2, n -> new Action.Crash())) {
         Outcome outcome = Outcome.UNKNOWN;
         for (int i = 0; i < ATTEMPTS; i++) {
           int before = system.requests();
@@ -103,26 +103,26 @@
       RequestKind read = Declarations.READ;
       RequestKind book = Declarations.BOOK;
       return new Object[][] {
-        {read, new Answer.Send(COMPLETE), 200, Outcome.EXECUTED, 1},
-        {read, new Answer.Send(CHUNKED), 200, Outcome.EXECUTED, 1},
+        {read, new Action.Send(COMPLETE), 200, Outcome.EXECUTED, 1},
+        {read, new Action.Send(CHUNKED), 200, Outcome.EXECUTED, 1},
         {read, TRUNCATED, 502, Outcome.UNKNOWN, 1},
         {read, TRUNCATED_CHUNKS, 502, Outcome.UNKNOWN, 1},
         {read, NO_LENGTH, 502, Outcome.UNKNOWN, 1},
         {read, CLOSED, 502, Outcome.UNKNOWN, 1},
         {read, GARBAGE, 502, Outcome.UNKNOWN, 1},
-        {read, new Answer.Send(REFUSED), 503, Outcome.NOT_EXECUTED, 1},
-        {read, new Answer.Silence(), 504, Outcome.UNKNOWN, 1},
-        {book, new Answer.Send(COMPLETE), 200, Outcome.EXECUTED, 1},
+        {read, new Action.Send(REFUSED), 503, Outcome.NOT_EXECUTED, 1},
+        {read, new Action.Hang(), 504, Outcome.UNKNOWN, 1},
+        {book, new Action.Send(COMPLETE), 200, Outcome.EXECUTED, 1},
         {book, TRUNCATED, 502, Outcome.UNKNOWN, 1},
         {book, CLOSED, 502, Outcome.UNKNOWN, 1},
-        {book, new Answer.Send(REFUSED), 503, Outcome.NOT_EXECUTED, 1},
-        {book, new Answer.Silence(), 504, Outcome.UNKNOWN, 1},
+        {book, new Action.Send(REFUSED), 503, Outcome.NOT_EXECUTED, 1},
+        {book, new Action.Hang(), 504, Outcome.UNKNOWN, 1},
       };
     }
 
     @Test(dataProvider = "faults")
     public void reportsActualOutcome(
-        RequestKind kind, Answer answer, int status, Outcome outcome, int requests)
+        RequestKind kind, Action answer, int status, Outcome outcome, int requests)
         throws Exception {
       try (TestSystem system = new TestSystem(1, n -> answer)) {
         Reply reply = system.send(kind, 150);
@@ -135,8 +135,8 @@
     /** Guards against sending requests to a server that asked for a pause by Retry-After. */
     @Test
     public void serverThatSentRetryAfterReceivesNoRequests() throws Exception {
-      Answer refusal =
-          new Answer.Send("HTTP/1.1 503 Full\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n");
+      Action refusal =
+          new Action.Send("HTTP/1.1 503 Full\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n");
       try (TestSystem system = new TestSystem(1, n -> refusal)) {
         for (int i = 0; i < 5; i++) {
           assertEquals(system.send(Declarations.READ, 500).outcome(), Outcome.NOT_EXECUTED);
@@ -165,8 +165,8 @@
       return new Object[][] {
         {Declarations.READ, TRUNCATED, 200, 2},
         {Declarations.READ, CLOSED, 200, 2},
-        {Declarations.READ, new Answer.Send(REFUSED), 200, 2},
-        {Declarations.BOOK, new Answer.Send(REFUSED), 200, 2},
+        {Declarations.READ, new Action.Send(REFUSED), 200, 2},
+        {Declarations.BOOK, new Action.Send(REFUSED), 200, 2},
         {Declarations.BOOK, TRUNCATED, 502, 1},
         {Declarations.BOOK, CLOSED, 502, 1},
       };
@@ -174,8 +174,8 @@
 
     @Test(dataProvider = "faults")
     public void retriesOnlyWhatMayBeExecutedTwice(
-        RequestKind kind, Answer first, int status, int requests) throws Exception {
-      try (TestSystem system = new TestSystem(3, n -> n == 0 ? first : new Answer.Send(COMPLETE))) {
+        RequestKind kind, Action first, int status, int requests) throws Exception {
+      try (TestSystem system = new TestSystem(3, n -> n == 0 ? first : new Action.Send(COMPLETE))) {
         assertEquals(system.send(kind, 500).status(), status);
         assertEquals(system.requests(), requests);
       }
@@ -188,7 +188,7 @@
     @Test
     public void outcomeStaysUnknownWhenRefusalFollowsBrokenAttempt() throws Exception {
       try (TestSystem system =
-          new TestSystem(3, n -> n == 0 ? TRUNCATED : new Answer.Send(REFUSED))) {
+          new TestSystem(3, n -> n == 0 ? TRUNCATED : new Action.Send(REFUSED))) {
         assertEquals(system.send(Declarations.READ, 500).outcome(), Outcome.UNKNOWN);
       }
     }
@@ -196,7 +196,7 @@
     /** Calls pass up to seven layers, so that retries at each layer would multiply. */
     @Test
     public void requestRetriedByOuterLayerIsNotRetried() throws Exception {
-      try (TestSystem system = new TestSystem(3, n -> new Answer.Send(REFUSED))) {
+      try (TestSystem system = new TestSystem(3, n -> new Action.Send(REFUSED))) {
         system.send(Declarations.READ, 500, 2);
         assertEquals(system.requests(), 1);
       }
@@ -210,8 +210,7 @@
     public void hedgeAnswersBeforeSilentServer() throws Exception {
       RetryPolicy hedging = new RetryPolicy(0.1, 2, true, 0.95);
       try (TestSystem system =
-          new TestSystem(
-              3, n -> n == 0 ? new Answer.Silence() : new Answer.Send(COMPLETE), hedging)) {
+          new TestSystem(3, n -> n == 0 ? new Action.Hang() : new Action.Send(COMPLETE), hedging)) {
         assertEquals(system.send(Declarations.READ, 2_000).status(), 200);
         assertEquals(system.requests(), 2);
       }
@@ -220,7 +219,7 @@
     /** If every server refuses, further attempts stay within the reserve of the retry budget. */
     @Test
     public void retriesStayWithinBudget() throws Exception {
-      try (TestSystem system = new TestSystem(3, n -> new Answer.Send(REFUSED))) {
+      try (TestSystem system = new TestSystem(3, n -> new Action.Send(REFUSED))) {
         for (int i = 0; i < 60; i++) {
           system.send(Declarations.READ, 500);
         }
@@ -233,7 +232,7 @@
   public static final class Connections {
     @Test
     public void connectionIsReusedAfterCompleteAnswer() throws Exception {
-      try (TestSystem system = new TestSystem(1, n -> new Answer.Send(COMPLETE))) {
+      try (TestSystem system = new TestSystem(1, n -> new Action.Send(COMPLETE))) {
         system.send(Declarations.READ, 500);
         system.send(Declarations.READ, 500);
         assertEquals(system.connections(), 1);
@@ -247,7 +246,7 @@
     @Test
     public void connectionIsNotReusedAfterTimeout() throws Exception {
       try (TestSystem system =
-          new TestSystem(1, n -> n == 0 ? new Answer.Silence() : new Answer.Send(COMPLETE))) {
+          new TestSystem(1, n -> n == 0 ? new Action.Hang() : new Action.Send(COMPLETE))) {
         system.send(Declarations.READ, 50);
         assertEquals(system.send(Declarations.READ, 500).status(), 200);
         assertEquals(system.connections(), 2);
@@ -257,7 +256,7 @@
     @Test
     public void largeAnswerIsStreamed() throws Exception {
       String body = "x".repeat(200_000);
-      Answer large = new Answer.Send("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + body);
+      Action large = new Action.Send("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + body);
       try (TestSystem system = new TestSystem(1, n -> large)) {
         Reply.Body.Streaming stream =
             (Reply.Body.Streaming) system.send(Declarations.READ, 500).body();
@@ -271,8 +270,8 @@
 
     @Test
     public void truncatedLargeAnswerFailsWhileItIsRead() throws Exception {
-      Answer truncated =
-          new Answer.SendAndClose(
+      Action truncated =
+          new Action.SendAndClose(
               "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + "x".repeat(200_000));
       try (TestSystem system = new TestSystem(1, n -> truncated)) {
         Reply.Body.Streaming stream =
@@ -285,22 +284,22 @@
 
   /** A dispatcher with raw servers that share one sequence of answers. */
   private static final class TestSystem implements AutoCloseable {
-    private final List<RawServer> servers = new ArrayList<>();
+    private final List<ScriptedServer> servers = new ArrayList<>();
     private final Clocks clocks = Clocks.system();
     private final ServiceState service;
     private final Dispatcher dispatcher;
     private final java.util.concurrent.atomic.AtomicInteger nextAnswer =
         new java.util.concurrent.atomic.AtomicInteger();
 
-    TestSystem(int count, IntFunction<Answer> answers) throws Exception {
+    TestSystem(int count, IntFunction<Action> answers) throws Exception {
       this(count, answers, Declarations.profile().retry());
     }
 
-    TestSystem(int count, IntFunction<Answer> answers, RetryPolicy retry) throws Exception {
+    TestSystem(int count, IntFunction<Action> answers, RetryPolicy retry) throws Exception {
       for (int i = 0; i < count; i++) {
-        servers.add(new RawServer(n -> answers.apply(nextAnswer.getAndIncrement())));
+        servers.add(new ScriptedServer(n -> answers.apply(nextAnswer.getAndIncrement())));
       }
-      int[] ports = servers.stream().mapToInt(RawServer::port).toArray();
+      int[] ports = servers.stream().mapToInt(ScriptedServer::port).toArray();
       this.service = service(ports, retry);
       this.dispatcher = dispatcher();
     }
@@ -365,11 +364,11 @@
     }
 
     int requests() {
-      return servers.stream().mapToInt(RawServer::requests).sum();
+      return servers.stream().mapToInt(ScriptedServer::requests).sum();
     }
 
     int connections() {
-      return servers.stream().mapToInt(RawServer::connections).sum();
+      return servers.stream().mapToInt(ScriptedServer::connections).sum();
     }
 
     int inFlight() {
@@ -378,7 +377,7 @@
 
     @Override
     public void close() throws IOException {
-      for (RawServer server : servers) {
+      for (ScriptedServer server : servers) {
         server.close();
       }
     }
--- a/core/src/test/java/org/magnoliaswitch/core/request/ServerChooserTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/request/ServerChooserTest.java
@@ -45,7 +45,7 @@
   @Test
   public void leastRequestsAvoidsBusyServer() {
     List<ServerHandle> servers = servers(2);
-    servers.get(0).load().sent();
+    servers.get(0).load().requestStarted();
     Map<String, Integer> counts = choices(new RoutingPolicy.LeastRequests(), servers);
     assertTrue(counts.get("s0") < CHOICES / 3, counts.toString());
   }
@@ -53,8 +53,9 @@
   @Test
   public void aFullServerIsAvoided() {
     List<ServerHandle> servers = warmedUpServers(4);
-    servers.get(1).load().reported(new LoadReport(12, 6, false), clock.read());
-    assertEquals(choices(Declarations.FRESH, servers).getOrDefault("s1", 0), Integer.valueOf(0));
+    servers.get(1).load().recordReport(new LoadReport(12, 6, false), clock.read());
+    assertEquals(
+        choices(Declarations.FRESH_LOAD, servers).getOrDefault("s1", 0), Integer.valueOf(0));
   }
 
   /**
@@ -65,56 +66,61 @@
   @Test
   public void aStaleReportLosesWeight() {
     List<ServerHandle> servers = warmedUpServers(5);
-    servers.get(0).load().reported(new LoadReport(0, 6, false), clock.read());
+    servers.get(0).load().recordReport(new LoadReport(0, 6, false), clock.read());
     clock.advance(Duration.ofMillis(500));
     for (ServerHandle other : servers.subList(1, 5)) {
-      other.load().reported(new LoadReport(5, 6, false), clock.read());
+      other.load().recordReport(new LoadReport(5, 6, false), clock.read());
     }
     double expected =
         ServerChooser.expectedRequests(
-            Declarations.FRESH, servers.get(0).load(), 5.0, clock.read());
+            Declarations.FRESH_LOAD, servers.get(0).load(), 5.0, clock.read());
     assertTrue(expected > 4.9, "expected " + expected);
   }
 
   @Test
   public void ownRequestsSinceTheReportAreCounted() {
     ServerLoad load = warmedUpServers(1).get(0).load();
-    load.reported(new LoadReport(2, 6, false), clock.read());
-    load.sent();
-    load.sent();
+    load.recordReport(new LoadReport(2, 6, false), clock.read());
+    load.requestStarted();
+    load.requestStarted();
     assertEquals(
-        ServerChooser.expectedRequests(Declarations.FRESH, load, 2.0, clock.read()), 4.0, 0.01);
+        ServerChooser.expectedRequests(Declarations.FRESH_LOAD, load, 2.0, clock.read()),
+        4.0,
+        0.01);
   }
 
   @Test
   public void aStragglerThatReportsIdleIsAvoided() {
     List<ServerHandle> servers = warmedUpServers(4);
     for (int i = 0; i < 30; i++) {
-      servers.get(2).load().sent();
-      servers.get(2).load().answered(Duration.ofMillis(200).toNanos(), clock.read());
+      servers.get(2).load().requestStarted();
+      servers.get(2).load().recordSuccess(Duration.ofMillis(200).toNanos(), clock.read());
     }
-    assertEquals(choices(Declarations.FRESH, servers).getOrDefault("s2", 0), Integer.valueOf(0));
+    assertEquals(
+        choices(Declarations.FRESH_LOAD, servers).getOrDefault("s2", 0), Integer.valueOf(0));
   }
 
   @Test
   public void aServerThatOftenFailsIsAvoided() {
     List<ServerHandle> servers = warmedUpServers(3);
     for (int i = 0; i < 10; i++) {
-      servers.get(0).load().sent();
-      servers.get(0).load().failed();
+      servers.get(0).load().requestStarted();
+      servers.get(0).load().recordFailure();
     }
-    assertEquals(choices(Declarations.FRESH, servers).getOrDefault("s0", 0), Integer.valueOf(0));
+    assertEquals(
+        choices(Declarations.FRESH_LOAD, servers).getOrDefault("s0", 0), Integer.valueOf(0));
   }
 
   @Test
   public void nearServersArePreferredUnlessTheyAreWorse() {
     List<ServerHandle> servers = new ArrayList<>(warmedUpServers(2));
     servers.add(warmUp(handle("far", "dc-2")));
-    assertEquals(choices(Declarations.FRESH, servers).getOrDefault("far", 0), Integer.valueOf(0));
+    assertEquals(
+        choices(Declarations.FRESH_LOAD, servers).getOrDefault("far", 0), Integer.valueOf(0));
     for (ServerHandle near : servers.subList(0, 2)) {
-      near.load().reported(new LoadReport(18, 6, false), clock.read());
+      near.load().recordReport(new LoadReport(18, 6, false), clock.read());
     }
-    assertEquals(choices(Declarations.FRESH, servers).get("far"), Integer.valueOf(CHOICES));
+    assertEquals(choices(Declarations.FRESH_LOAD, servers).get("far"), Integer.valueOf(CHOICES));
   }
 
   private Map<String, Integer> choices(RoutingPolicy policy, List<ServerHandle> servers) {
@@ -139,10 +145,10 @@
 
   private ServerHandle warmUp(ServerHandle handle) {
     for (int i = 0; i < 10; i++) {
-      handle.load().sent();
-      handle.load().answered(Duration.ofMillis(10).toNanos(), clock.read());
+      handle.load().requestStarted();
+      handle.load().recordSuccess(Duration.ofMillis(10).toNanos(), clock.read());
     }
-    handle.load().reported(new LoadReport(2, 6, false), clock.read());
+    handle.load().recordReport(new LoadReport(2, 6, false), clock.read());
     return handle;
   }
 
--- a/entry/src/main/java/org/magnoliaswitch/entry/OperatorResource.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/OperatorResource.java
@@ -83,9 +83,9 @@
   @POST
   @Path("servers/{id}/leaving")
   public Response leaving(@PathParam("id") String id) {
-    if (control.state().leaving().noticed(id, LeavingNotice.Source.OPERATOR)) {
+    if (control.state().leaving().markLeaving(id, LeavingNotice.Source.OPERATOR)) {
       control.state().timeline().record(EventKind.SERVER_LEAVING, "", "", id, "sign=operator");
-      control.gossip().pushNews();
+      control.gossip().pushUpdate();
     }
     return Response.noContent().build();
   }
