--- a/core/src/main/java/org/magnoliaswitch/core/request/AtMostOnceExecutor.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/AtMostOnceExecutor.java
@@ -97,7 +97,7 @@
     if (request.key().isEmpty()) {
       return policy.required()
           ? Reply.local(
-              PRECONDITION_REQUIRED, Outcome.NOT_EXECUTED, "an Idempotency-Key is required", 0)
+              PRECONDITION_REQUIRED, Outcome.NOT_EXECUTED, "an Idempotency-Key is needed", 0)
           : execute.apply(request);
     }
     String key = request.key().get();
@@ -111,7 +111,7 @@
       return askHolder(keyed, issued.get().incarnation(), Optional.empty());
     }
     return dependencies.issuer().expired(issued.get(), policy.retentionSeconds())
-        ? Reply.local(GONE, Outcome.UNKNOWN, "the key is older than the retention of outcomes", 0)
+        ? Reply.local(GONE, Outcome.UNKNOWN, "the key is older than outcomes are kept", 0)
         : executeLocally(keyed, false);
   }
 
@@ -147,8 +147,7 @@
         }
       }
     }
-    return Reply.local(
-        UNAVAILABLE, Outcome.UNKNOWN, "the key is in use by another request", RETRY_AFTER_SECONDS);
+    return Reply.local(UNAVAILABLE, Outcome.UNKNOWN, "the key is in use", RETRY_AFTER_SECONDS);
   }
 
   /**
@@ -191,7 +190,7 @@
    */
   private Reply claimUnavailable(InboundRequest request) {
     boolean first = request.attempt().declared() && request.attempt().number() == 1;
-    String reason = "the key could not be claimed";
+    String reason = "keys cannot be claimed now";
     return first && !callersBalancerResends
         ? Reply.local(UNAVAILABLE, Outcome.NOT_EXECUTED, reason, RETRY_AFTER_SECONDS)
         : Reply.attemptNotExecuted(UNAVAILABLE, reason, RETRY_AFTER_SECONDS);
@@ -256,7 +255,7 @@
         return answered.reply();
       }
       if (!(result instanceof AttemptResult.NotSent)) {
-        return Reply.local(TIMEOUT, Outcome.UNKNOWN, "no answer from the holder of the key", 0);
+        return Reply.local(TIMEOUT, Outcome.UNKNOWN, "no answer from the key's holder", 0);
       }
     }
     return answerFromRecords(keyed, holder, claim);
@@ -271,13 +270,10 @@
       return lookup.complete()
           ? takeOverUnexecuted(keyed, claim)
           : Reply.local(
-              UNAVAILABLE, Outcome.UNKNOWN, "the holder of the key is gone", RETRY_AFTER_SECONDS);
+              UNAVAILABLE, Outcome.UNKNOWN, "the key's holder is gone", RETRY_AFTER_SECONDS);
     } catch (PlatformException e) {
       return Reply.local(
-          UNAVAILABLE,
-          Outcome.UNKNOWN,
-          "the records of the key cannot be read",
-          RETRY_AFTER_SECONDS);
+          UNAVAILABLE, Outcome.UNKNOWN, "the key's records cannot be read", RETRY_AFTER_SECONDS);
     }
   }
 
@@ -298,7 +294,7 @@
       return complete
           ? takeOverUnexecuted(keyed, claim)
           : Reply.local(
-              UNAVAILABLE, Outcome.UNKNOWN, "the holder of the key is gone", RETRY_AFTER_SECONDS);
+              UNAVAILABLE, Outcome.UNKNOWN, "the key's holder is gone", RETRY_AFTER_SECONDS);
     }
     return replay(finished.outcome());
   }
@@ -310,11 +306,7 @@
    */
   private Reply takeOverUnexecuted(KeyedRequest keyed, Optional<ClaimResult> claim) {
     if (claim.isEmpty()) {
-      return Reply.local(
-          CONFLICT,
-          Outcome.NOT_EXECUTED,
-          "the instance that issued the key is gone: use a new key",
-          0);
+      return Reply.local(CONFLICT, Outcome.NOT_EXECUTED, "use a new key: its instance is gone", 0);
     }
     OutcomeLedger.Admission admission =
         dependencies
@@ -326,11 +318,7 @@
                 attemptNumber(keyed.request()));
     return admission instanceof OutcomeLedger.Admission.Execute
         ? claimAndExecute(keyed, claim.get().row())
-        : Reply.local(
-            UNAVAILABLE,
-            Outcome.UNKNOWN,
-            "the key is in use by another request",
-            RETRY_AFTER_SECONDS);
+        : Reply.local(UNAVAILABLE, Outcome.UNKNOWN, "the key is in use", RETRY_AFTER_SECONDS);
   }
 
   /** Creates the reply for a key whose outcome is known. */
@@ -343,14 +331,13 @@
               .orElseGet(
                   () ->
                       Reply.local(
-                          CONFLICT, Outcome.EXECUTED, "the answer was too large to store", 0));
+                          CONFLICT, Outcome.EXECUTED, "the answer was too large to keep", 0));
       case KeyOutcome.NotExecuted notExecuted ->
           Reply.local(UNAVAILABLE, Outcome.NOT_EXECUTED, "not executed", RETRY_AFTER_SECONDS);
       case KeyOutcome.Unknown unknown ->
-          Reply.local(CONFLICT, Outcome.UNKNOWN, "sent, but no complete answer was received", 0);
+          Reply.local(CONFLICT, Outcome.UNKNOWN, "sent once, and no whole answer came", 0);
       case KeyOutcome.Running running ->
-          Reply.local(
-              CONFLICT, Outcome.UNKNOWN, "the request is being executed", RETRY_AFTER_SECONDS);
+          Reply.local(CONFLICT, Outcome.UNKNOWN, "at work", RETRY_AFTER_SECONDS);
     };
   }
 
@@ -364,7 +351,7 @@
 
   private static Reply mismatch() {
     return Reply.local(
-        UNPROCESSABLE, Outcome.NOT_EXECUTED, "the key was used for a different request", 0);
+        UNPROCESSABLE, Outcome.NOT_EXECUTED, "the key was used for another request", 0);
   }
 
   private String self() {
--- a/core/src/main/java/org/magnoliaswitch/core/request/Dispatcher.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/Dispatcher.java
@@ -41,7 +41,7 @@
   private static final long TRIAL_PROPAGATION_NANOS = 0;
 
   /** Reason given when a request is not sent because servers crash while serving it. */
-  static final String CRASHES_SERVERS = "servers crash while serving this request";
+  static final String CRASHES_SERVERS = "servers end under this request";
 
   private static final int SERVICE_UNAVAILABLE = 503;
   private static final int GATEWAY_TIMEOUT = 504;
@@ -363,17 +363,14 @@
     return switch (result) {
       case AttemptResult.Answered answered -> answered.reply();
       case AttemptResult.NotSent notSent ->
-          Reply.local(
-              SERVICE_UNAVAILABLE, Outcome.NOT_EXECUTED, "no server could be reached", retryAfter);
+          Reply.local(SERVICE_UNAVAILABLE, Outcome.NOT_EXECUTED, "no server reached", retryAfter);
       case AttemptResult.Refused refused ->
           Reply.local(
               SERVICE_UNAVAILABLE, Outcome.NOT_EXECUTED, "refused by the server", retryAfter);
       case AttemptResult.Broken broken ->
-          Reply.local(
-              BAD_GATEWAY, Outcome.UNKNOWN, "the connection failed before a complete answer", 0);
+          Reply.local(BAD_GATEWAY, Outcome.UNKNOWN, "the answer was cut short", 0);
       case AttemptResult.TimedOut timedOut ->
-          Reply.local(
-              GATEWAY_TIMEOUT, Outcome.UNKNOWN, "no complete answer before the deadline", 0);
+          Reply.local(GATEWAY_TIMEOUT, Outcome.UNKNOWN, "no answer in time", 0);
     };
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/request/OutcomeQuery.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/OutcomeQuery.java
@@ -67,7 +67,6 @@
    */
   private static Answer unknown() {
     return new Answer.Resolved(
-        Reply.local(
-            NOT_FOUND, Outcome.UNKNOWN, "no outcome is recorded for the key", RETRY_AFTER_SECONDS));
+        Reply.local(NOT_FOUND, Outcome.UNKNOWN, "no outcome is on record", RETRY_AFTER_SECONDS));
   }
 }
