--- a/core/src/main/java/org/magnoliaswitch/core/version/BackendServer.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/BackendServer.java
@@ -3,13 +3,14 @@
 /**
  * One backend server of a service.
  *
- * @param id unique among all services
- * @param dataCentre where it runs
- * @param host IP number
+ * @param id identifier, unique across all services
+ * @param dataCentre data centre in which the server runs
+ * @param host IP address
  * @param port TCP port
- * @param slots requests it executes at once
- * @param connections most connections it accepts from all instances together
- * @param state what operators want of it
+ * @param slots number of requests that the server executes concurrently
+ * @param connections maximum number of connections that the server accepts from all instances
+ *     together
+ * @param state state that operators have requested
  */
 public record BackendServer(
     String id,
@@ -19,7 +20,7 @@
     int slots,
     int connections,
     ServerState state) {
-  /** The same server in another state. */
+  /** Returns a copy of this server with the given state. */
   public BackendServer withState(ServerState other) {
     return new BackendServer(id, dataCentre, host, port, slots, connections, other);
   }
--- a/core/src/main/java/org/magnoliaswitch/core/version/ConfigurationDiff.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/ConfigurationDiff.java
@@ -7,11 +7,11 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Differences between two sets of declarations, by part and by JSON path. */
+/** Computes the differences between two sets of declarations, by part and by JSON path. */
 public final class ConfigurationDiff {
   private ConfigurationDiff() {}
 
-  /** Paths whose digests differ, new and removed ones included. */
+  /** Returns the paths of all parts that were added, removed or whose digests differ. */
   public static Set<String> changedParts(Map<String, String> before, Map<String, String> after) {
     Set<String> changed = new TreeSet<>(before.keySet());
     changed.addAll(after.keySet());
@@ -19,7 +19,9 @@
     return changed;
   }
 
-  /** One line per difference: {@code + added}, {@code - removed}, {@code ~ path: old -> new}. */
+  /**
+   * Returns a line per difference: {@code + added}, {@code - removed}, {@code ~ path: old -> new}.
+   */
   public static List<String> lines(Map<String, byte[]> before, Map<String, byte[]> after) {
     List<String> lines = new ArrayList<>();
     Set<String> paths = new TreeSet<>(before.keySet());
--- a/core/src/main/java/org/magnoliaswitch/core/version/Execution.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/Execution.java
@@ -1,9 +1,11 @@
 package org.magnoliaswitch.core.version;
 
-/** How often a request of one kind may be executed. */
+/** How often a request of a kind may be executed. */
 public enum Execution {
-  /** A repeated execution has the effect of one: retries and hedges are allowed. */
+  /** Several executions have the same effect as a single one: retries and hedges are allowed. */
   IDEMPOTENT,
-  /** At most one execution per idempotency key; never sent again once a byte may have left. */
+  /**
+   * At most one execution per idempotency key: no further attempt once a byte may have been sent.
+   */
   AT_MOST_ONCE
 }
--- a/core/src/main/java/org/magnoliaswitch/core/version/InvalidDeclarationException.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/InvalidDeclarationException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Thrown when declarations or settings cannot be accepted; holds every problem found. */
+/** Thrown when declarations or settings are invalid; contains every problem found. */
 public final class InvalidDeclarationException extends Exception {
   private final List<Problem> problems;
 
@@ -11,7 +11,7 @@
     this.problems = List.copyOf(problems);
   }
 
-  /** Every problem found, in the order of the files. */
+  /** Returns every problem found, in the order of the files. */
   public List<Problem> problems() {
     return problems;
   }
--- a/core/src/main/java/org/magnoliaswitch/core/version/Json.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/Json.java
@@ -7,11 +7,9 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.fasterxml.jackson.datatype.jdk8.Jdk8Module;
 
-/**
- * The one JSON mapping of declarations, settings and platform rows: strict and with sorted keys.
- */
+/** The JSON mapper of declarations, settings and platform rows: strict, with sorted map keys. */
 public final class Json {
-  /** Refuses unknown properties and missing ones; writes map keys in order. */
+  /** Rejects unknown, missing and mistyped properties; writes map entries sorted by key. */
   public static final ObjectMapper MAPPER =
       JsonMapper.builder()
           .addModule(new Jdk8Module())
--- a/core/src/main/java/org/magnoliaswitch/core/version/JsonPaths.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/JsonPaths.java
@@ -5,7 +5,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Flattens a JSON document into paths and leaf values; list items with an id are named by it. */
+/**
+ * Flattens a JSON document into paths and leaf values. A path names a list item by its id,
+ * otherwise by its name, otherwise by its index.
+ */
 final class JsonPaths {
   private JsonPaths() {}
 
@@ -30,14 +33,14 @@
                       leaves));
     } else if (node.isArray()) {
       for (int i = 0; i < node.size(); i++) {
-        walk(path + '[' + label(node.get(i), i) + ']', node.get(i), leaves);
+        walk(path + '[' + itemLabel(node.get(i), i) + ']', node.get(i), leaves);
       }
     } else {
       leaves.put(path, node.toString());
     }
   }
 
-  private static String label(JsonNode item, int index) {
+  private static String itemLabel(JsonNode item, int index) {
     if (item.hasNonNull("id")) {
       return item.get("id").asText();
     }
--- a/core/src/main/java/org/magnoliaswitch/core/version/KeyPolicy.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/KeyPolicy.java
@@ -1,12 +1,13 @@
 package org.magnoliaswitch.core.version;
 
 /**
- * Treatment of idempotency keys for requests that execute at most once.
+ * Rules for the idempotency keys of requests that are executed at most once.
  *
- * @param required whether a request without a key is refused
- * @param retentionSeconds how long an outcome can be asked for
- * @param claimWindowMillis how long claims wait to share one table transaction
- * @param protectionEnabled false switches claims off, so that a check can be seen to fail
+ * @param required whether a request without a key is rejected
+ * @param retentionSeconds how long the outcome of a request can be queried
+ * @param claimWindowMillis how long claims are collected for a common table transaction
+ * @param protectionEnabled whether keys are claimed before execution; experiments set it to false
+ *     to show that their check for double executions detects a missing protection
  */
 public record KeyPolicy(
     boolean required, int retentionSeconds, int claimWindowMillis, boolean protectionEnabled) {}
--- a/core/src/main/java/org/magnoliaswitch/core/version/Manifest.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/Manifest.java
@@ -4,16 +4,17 @@
 import java.util.TreeMap;
 
 /**
- * The list of contents of one configuration version.
+ * Lists the parts of a configuration version.
  *
- * <p>Parts are addressed by their SHA-256 digest, so that a change of one service moves one
- * manifest and one part between instances instead of everything.
+ * <p>Parts are addressed by their SHA-256 digest, so that after a change of one service only the
+ * manifest and the changed part are transferred between instances.
  *
- * @param version rises by one with each accepted change, the first is 1
- * @param changeId names the operator's change, so that a repeated one is recognised
- * @param author who made the change
- * @param note why
- * @param parts path of a declaration, such as {@code services/booking.json}, to its digest in hex
+ * @param version version number, incremented with each accepted change; the first is 1
+ * @param changeId identifies the operator's change, so that a repeated request for it is recognised
+ * @param author author of the change
+ * @param note reason for the change
+ * @param parts digest of each declaration in hexadecimal, by its path, such as {@code
+ *     services/booking.json}
  */
 public record Manifest(
     long version, String changeId, String author, String note, Map<String, String> parts) {
--- a/core/src/main/java/org/magnoliaswitch/core/version/ProbeBudget.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/ProbeBudget.java
@@ -1,19 +1,20 @@
 package org.magnoliaswitch.core.version;
 
 /**
- * Hard bound on probes that one backend server receives from all instances together.
+ * Hard limit on the probes that one backend server receives from all instances together.
  *
- * @param probesPerSecond bound per backend server, averaged over {@link #minIntervalMillis()}
- * @param maxInstances largest number of instances that can be alive at once, replacements included
+ * @param probesPerSecond limit per backend server, averaged over {@link #minIntervalMillis()}
+ * @param maxInstances maximum number of instances that run at the same time, including replacements
  */
 public record ProbeBudget(double probesPerSecond, int maxInstances) {
   private static final double MILLIS_PER_SECOND = 1_000.0;
 
   /**
-   * Least time between two probes of one server by one instance, in milliseconds.
+   * Returns the minimum interval between two probes of a server by one instance, in milliseconds.
    *
-   * <p>With one probe per instance in any window of this length, {@code maxInstances} instances
-   * stay within the budget in every such window, whatever each believes of the others.
+   * <p>If each instance sends at most one probe in any window of this length, {@code maxInstances}
+   * instances stay within the budget in every such window, even if an instance has wrong
+   * information about the other instances.
    */
   public long minIntervalMillis() {
     return (long) Math.ceil(maxInstances / probesPerSecond * MILLIS_PER_SECOND);
--- a/core/src/main/java/org/magnoliaswitch/core/version/Problem.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/Problem.java
@@ -1,15 +1,15 @@
 package org.magnoliaswitch.core.version;
 
 /**
- * One thing wrong with a declaration or with settings.
+ * A rule that a declaration or a settings file violates.
  *
  * @param path file and JSON path, such as {@code services/booking.json: servers[2].port}
- * @param found the value that is there
- * @param allowed what may be there
+ * @param found value that violates the rule
+ * @param allowed values that the rule allows, as a noun phrase
  */
 public record Problem(String path, String found, String allowed) {
   @Override
   public String toString() {
-    return path + ": " + found + " is not allowed; " + allowed;
+    return path + ": " + found + " is not allowed; expected " + allowed;
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/version/Profile.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/Profile.java
@@ -4,16 +4,17 @@
 import java.util.Optional;
 
 /**
- * A named treatment of traffic that services pick.
+ * A named set of traffic policies that services refer to.
  *
- * @param name unique among the profiles
- * @param routing how a backend server is chosen
- * @param measuring bound on probes
- * @param admission bound on requests at once
- * @param retry budget of further attempts
- * @param keys treatment of idempotency keys
- * @param refusalStatuses statuses by which a backend server says that it did not execute a request
- * @param kinds kinds of request, the first match counts
+ * @param name unique name of the profile
+ * @param routing policy by which a backend server is chosen
+ * @param measuring limit on probes
+ * @param admission limits on concurrent and queued requests
+ * @param retry budget of retries and hedges
+ * @param keys rules for idempotency keys
+ * @param refusalStatuses HTTP statuses with which a backend server reports that it did not execute
+ *     a request
+ * @param kinds kinds of request; the first match applies
  */
 public record Profile(
     String name,
@@ -29,7 +30,7 @@
     kinds = List.copyOf(kinds);
   }
 
-  /** The first kind that covers a request. */
+  /** Returns the first kind that matches the request. */
   public Optional<RequestKind> kindOf(String method, String path) {
     for (RequestKind kind : kinds) {
       if (kind.matches(method, path)) {
--- a/core/src/main/java/org/magnoliaswitch/core/version/RequestKind.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/RequestKind.java
@@ -1,14 +1,14 @@
 package org.magnoliaswitch.core.version;
 
 /**
- * One kind of request that a profile treats alike.
+ * A kind of request; all requests of a kind are handled by the same rules.
  *
- * @param name unique within its profile
- * @param method HTTP method, upper case
- * @param pathPrefix path below the service's prefix, matched segment-wise from the left
- * @param execution how often it may be executed
- * @param harmWeight relative harm of failing one such request, above 0 and at most 100
- * @param deadlineMillis time to the whole answer when the caller names none
+ * @param name name, unique within its profile
+ * @param method HTTP method in upper case
+ * @param pathPrefix path prefix, relative to the service's prefix; it matches whole path segments
+ * @param execution how often such a request may be executed
+ * @param harmWeight relative harm of failing such a request, above 0 and at most 100
+ * @param deadlineMillis time limit for the complete answer if the caller does not set one
  */
 public record RequestKind(
     String name,
@@ -17,7 +17,7 @@
     Execution execution,
     double harmWeight,
     int deadlineMillis) {
-  /** Tells whether this kind covers a request, {@code path} being relative to the service. */
+  /** Returns whether this kind matches a request; {@code path} is relative to the service. */
   public boolean matches(String requestMethod, String path) {
     if (!method.equals(requestMethod) || !path.startsWith(pathPrefix)) {
       return false;
--- a/core/src/main/java/org/magnoliaswitch/core/version/RetryPolicy.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/RetryPolicy.java
@@ -1,12 +1,12 @@
 package org.magnoliaswitch.core.version;
 
 /**
- * The budget that retries and hedges share.
+ * The common budget of retries and hedges.
  *
- * @param budgetRatio extra attempts allowed per request, 0 to 0.5
- * @param maxAttempts attempts of one request, first one included
- * @param hedging whether a second attempt may start before the first one failed
- * @param hedgeQuantile quantile of recent latency after which a hedge starts
+ * @param budgetRatio further attempts allowed per request on average, 0 to 0.5
+ * @param maxAttempts maximum number of attempts of a request, including the first
+ * @param hedging whether a second attempt may start before the first has failed
+ * @param hedgeQuantile quantile of the recent latencies after which a hedge starts
  */
 public record RetryPolicy(
     double budgetRatio, int maxAttempts, boolean hedging, double hedgeQuantile) {}
--- a/core/src/main/java/org/magnoliaswitch/core/version/RoutingPolicy.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/RoutingPolicy.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
-/** How a backend server is chosen for a request. */
+/** The policy by which a backend server is chosen for a request. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "type")
 @JsonSubTypes({
   @JsonSubTypes.Type(value = RoutingPolicy.RoundRobin.class, name = "round-robin"),
@@ -11,18 +11,22 @@
   @JsonSubTypes.Type(value = RoutingPolicy.FreshLoad.class, name = "fresh-load")
 })
 public sealed interface RoutingPolicy {
-  /** Each backend server in turn; a baseline. */
+  /** Chooses the backend servers in turn; a baseline for comparisons. */
   record RoundRobin() implements RoutingPolicy {}
 
-  /** The lesser of two random servers by this instance's own requests in flight; a baseline. */
+  /**
+   * Chooses the one of two random servers that has fewer requests in flight from this instance; a
+   * baseline for comparisons.
+   */
   record LeastRequests() implements RoutingPolicy {}
 
   /**
-   * Reports of load corrected by age and by the instance's own sends since.
+   * Compares the reported loads of several random servers, corrected for the age of the report and
+   * for the requests that this instance has sent since.
    *
-   * @param candidates how many random servers are compared for one request
-   * @param reportHalfLifeMillis age at which a report counts half
-   * @param remotePenaltyMillis latency added to a server in another data centre
+   * @param candidates number of random servers compared for a request
+   * @param reportHalfLifeMillis age at which the weight of a report has halved
+   * @param remotePenaltyMillis latency penalty of a server in another data centre
    */
   record FreshLoad(int candidates, int reportHalfLifeMillis, int remotePenaltyMillis)
       implements RoutingPolicy {}
--- a/core/src/main/java/org/magnoliaswitch/core/version/ServerState.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/ServerState.java
@@ -1,8 +1,8 @@
 package org.magnoliaswitch.core.version;
 
-/** What operators want of a backend server. */
+/** The state of a backend server that operators request. */
 public enum ServerState {
   ACTIVE,
-  /** Finishes what it has and gets no new work. */
+  /** Finishes its requests in flight and receives no new ones. */
   DRAINING
 }
--- a/core/src/main/java/org/magnoliaswitch/core/version/Service.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/Service.java
@@ -5,11 +5,12 @@
 /**
  * A group of interchangeable backend servers behind one path prefix.
  *
- * @param name unique among the services
- * @param pathPrefix first path segments of its requests, such as {@code /booking}
- * @param profile name of the profile it picks
- * @param maxDrainShare share of servers that may drain without confirmation, 0 to 1
- * @param servers its backend servers
+ * @param name unique name of the service
+ * @param pathPrefix first path segments of the service's requests, such as {@code /booking}
+ * @param profile name of the profile that applies to the service
+ * @param maxDrainShare share of the servers that may drain without the operator's confirmation, 0
+ *     to 1
+ * @param servers backend servers of the service
  */
 public record Service(
     String name,
@@ -21,8 +22,8 @@
     servers = List.copyOf(servers);
   }
 
-  /** The same service with other servers. */
-  public Service withServers(List<BackendServer> others) {
-    return new Service(name, pathPrefix, profile, maxDrainShare, others);
+  /** Returns a copy of this service with the given servers. */
+  public Service withServers(List<BackendServer> replacements) {
+    return new Service(name, pathPrefix, profile, maxDrainShare, replacements);
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/version/Snapshot.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/Snapshot.java
@@ -6,16 +6,16 @@
 import java.util.Optional;
 
 /**
- * A checked configuration, immutable and swapped as a whole.
+ * A valid, immutable configuration, which is replaced as a whole.
  *
- * @param version its number; 0 stands for none yet
- * @param digest digest of its manifest
+ * @param version version number; 0 before the first version has been received
+ * @param digest digest of the manifest of the version
  * @param profiles profiles by name
  * @param services services by name
  */
 public record Snapshot(
     long version, String digest, Map<String, Profile> profiles, Map<String, Service> services) {
-  /** What an instance holds before it has received any version. */
+  /** The configuration of an instance before it has received any version. */
   public static final Snapshot EMPTY = new Snapshot(0, "", Map.of(), Map.of());
 
   public Snapshot {
@@ -23,30 +23,30 @@
     services = new LinkedHashMap<>(services);
   }
 
-  /** The service whose prefix covers a path; the longest prefix counts. */
+  /** Returns the service with the longest prefix that matches the path. */
   public Optional<Service> serviceOf(String path) {
-    Optional<Service> best = Optional.empty();
+    Optional<Service> longest = Optional.empty();
     for (Service service : services.values()) {
-      if (covers(service.pathPrefix(), path)
-          && best.map(Service::pathPrefix).map(String::length).orElse(0)
+      if (matches(service.pathPrefix(), path)
+          && longest.map(Service::pathPrefix).map(String::length).orElse(0)
               < service.pathPrefix().length()) {
-        best = Optional.of(service);
+        longest = Optional.of(service);
       }
     }
-    return best;
+    return longest;
   }
 
-  /** The profile a service picked. */
+  /** Returns the profile that applies to a service. */
   public Profile profileOf(Service service) {
     return profiles.get(service.profile());
   }
 
-  /** All backend servers of all services. */
+  /** Returns the backend servers of all services. */
   public Collection<BackendServer> servers() {
     return services.values().stream().flatMap(s -> s.servers().stream()).toList();
   }
 
-  private static boolean covers(String prefix, String path) {
+  private static boolean matches(String prefix, String path) {
     return path.startsWith(prefix)
         && (path.length() == prefix.length()
             || path.charAt(prefix.length()) == '/'
--- a/core/src/main/java/org/magnoliaswitch/core/version/SnapshotParser.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/SnapshotParser.java
@@ -13,7 +13,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** Turns the parts of a version into a checked {@link Snapshot}. */
+/** Parses the parts of a configuration version and validates them as a {@link Snapshot}. */
 public final class SnapshotParser {
   private static final String PROFILES = "profiles/";
   private static final String SERVICES = "services/";
@@ -26,10 +26,10 @@
   private SnapshotParser() {}
 
   /**
-   * Parses and checks all parts.
+   * Parses and validates all parts.
    *
-   * @param parts path of each declaration to its bytes
-   * @throws InvalidDeclarationException with every problem found
+   * @param parts content of each declaration by its path
+   * @throws InvalidDeclarationException if any part is invalid; contains every problem found
    */
   public static Snapshot parse(long version, String digest, Map<String, byte[]> parts)
       throws InvalidDeclarationException {
@@ -48,14 +48,17 @@
         problems.add(new Problem(path, "this file", "profiles/*.json or services/*.json"));
       }
     }
-    problems.addAll(SnapshotValidator.across(profiles, services));
+    problems.addAll(SnapshotValidator.checkReferences(profiles, services));
     if (!problems.isEmpty()) {
       throw new InvalidDeclarationException(problems);
     }
     return new Snapshot(version, digest, profiles, services);
   }
 
-  /** Reads one strict JSON document; a fault is noted with its JSON path. */
+  /**
+   * Parses a JSON document strictly. If that fails, adds a problem that names the JSON path and
+   * returns empty.
+   */
   public static <T> Optional<T> readDocument(
       String file, byte[] content, Class<T> type, List<Problem> problems) {
     try {
@@ -64,11 +67,13 @@
     } catch (UnrecognizedPropertyException e) {
       problems.add(
           new Problem(
-              file + ": " + path(e),
+              file + ": " + jsonPath(e),
               "property \"" + e.getPropertyName() + '"',
-              "known are " + e.getKnownPropertyIds()));
+              "one of the properties " + e.getKnownPropertyIds()));
     } catch (JsonMappingException e) {
-      problems.add(new Problem(file + ": " + path(e), "the value", e.getOriginalMessage()));
+      problems.add(
+          new Problem(
+              file + ": " + jsonPath(e), "the value", "a valid value: " + e.getOriginalMessage()));
     } catch (JsonProcessingException e) {
       problems.add(
           new Problem(
@@ -81,35 +86,38 @@
     return Optional.empty();
   }
 
-  /** A mistyped name is reported as such, and not as the missing property it was meant to be. */
+  /**
+   * Rejects unknown properties before the strict parser runs. That parser would report a misspelt
+   * property name as a missing property.
+   */
   private static void rejectUnknownProperties(byte[] content, Class<?> type) throws IOException {
     try {
       Object unused = LENIENT.readValue(content, type);
     } catch (UnrecognizedPropertyException e) {
       throw e;
     } catch (JsonMappingException e) {
-      // Everything else is reported by the strict reading that follows.
+      // The strict parser, which runs next, reports all other errors.
       return;
     }
   }
 
   private static void addProfile(
       String path, Profile profile, Map<String, Profile> profiles, List<Problem> problems) {
-    problems.addAll(SnapshotValidator.profile(path, profile));
+    problems.addAll(SnapshotValidator.checkProfile(path, profile));
     if (profiles.put(profile.name(), profile) != null) {
-      problems.add(new Problem(path + ": name", profile.name(), "a name used once"));
+      problems.add(new Problem(path + ": name", profile.name(), "a unique name"));
     }
   }
 
   private static void addService(
       String path, Service service, Map<String, Service> services, List<Problem> problems) {
-    problems.addAll(SnapshotValidator.service(path, service));
+    problems.addAll(SnapshotValidator.checkService(path, service));
     if (services.put(service.name(), service) != null) {
-      problems.add(new Problem(path + ": name", service.name(), "a name used once"));
+      problems.add(new Problem(path + ": name", service.name(), "a unique name"));
     }
   }
 
-  private static String path(JsonMappingException e) {
+  private static String jsonPath(JsonMappingException e) {
     StringBuilder path = new StringBuilder();
     for (JsonMappingException.Reference step : e.getPath()) {
       if (step.getFieldName() == null) {
--- a/core/src/main/java/org/magnoliaswitch/core/version/SnapshotValidator.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/SnapshotValidator.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Checks of the meaning of declarations, beyond their shape. */
+/** Checks ranges, formats and references of declarations that have been parsed. */
 final class SnapshotValidator {
   private static final String NAME = "[a-z][a-z0-9-]{0,62}";
   private static final String IP = "[0-9.]{7,15}|[0-9a-fA-F:]{2,45}";
@@ -18,7 +18,7 @@
 
   private SnapshotValidator() {}
 
-  static List<Problem> profile(String file, Profile profile) {
+  static List<Problem> checkProfile(String file, Profile profile) {
     Validator validator = new Validator(file);
     validator.requireMatch("name", profile.name(), NAME);
     if (profile.routing() instanceof RoutingPolicy.FreshLoad fresh) {
@@ -47,21 +47,22 @@
     validator.require(!profile.kinds().isEmpty(), "kinds", "[]", "at least one kind");
     Set<String> names = new HashSet<>();
     for (int i = 0; i < profile.kinds().size(); i++) {
-      kind(validator, "kinds[" + i + "]", profile.kinds().get(i), names);
+      checkKind(validator, "kinds[" + i + "]", profile.kinds().get(i), names);
     }
     return validator.problems();
   }
 
-  private static void kind(Validator validator, String path, RequestKind kind, Set<String> names) {
+  private static void checkKind(
+      Validator validator, String path, RequestKind kind, Set<String> names) {
     validator.requireMatch(path + ".name", kind.name(), NAME);
-    validator.require(names.add(kind.name()), path + ".name", kind.name(), "a name used once");
+    validator.require(names.add(kind.name()), path + ".name", kind.name(), "a unique name");
     validator.requireMatch(path + ".method", kind.method(), "[A-Z]{3,10}");
     validator.requireMatch(path + ".pathPrefix", kind.pathPrefix(), "/[A-Za-z0-9/_.-]*");
     validator.requireRange(path + ".harmWeight", kind.harmWeight(), 0.01, MAX_WEIGHT);
     validator.requireRange(path + ".deadlineMillis", kind.deadlineMillis(), 1, MAX_DEADLINE_MILLIS);
   }
 
-  static List<Problem> service(String file, Service service) {
+  static List<Problem> checkService(String file, Service service) {
     Validator validator = new Validator(file);
     validator.requireMatch("name", service.name(), NAME);
     validator.requireMatch("pathPrefix", service.pathPrefix(), "/[A-Za-z0-9/_.-]*[A-Za-z0-9_-]");
@@ -70,12 +71,12 @@
         service.servers().stream().anyMatch(server -> server.state() == ServerState.ACTIVE);
     validator.require(active, "servers", "no active server", "at least one server in state ACTIVE");
     for (int i = 0; i < service.servers().size(); i++) {
-      server(validator, "servers[" + i + "]", service.servers().get(i));
+      checkServer(validator, "servers[" + i + "]", service.servers().get(i));
     }
     return validator.problems();
   }
 
-  private static void server(Validator validator, String path, BackendServer server) {
+  private static void checkServer(Validator validator, String path, BackendServer server) {
     validator.requireMatch(path + ".id", server.id(), "[a-z][a-z0-9.-]{0,62}");
     validator.requireMatch(path + ".dataCentre", server.dataCentre(), NAME);
     validator.requireMatch(path + ".host", server.host(), IP);
@@ -84,7 +85,8 @@
     validator.requireRange(path + ".connections", server.connections(), 1, 100_000);
   }
 
-  static List<Problem> across(Map<String, Profile> profiles, Map<String, Service> services) {
+  static List<Problem> checkReferences(
+      Map<String, Profile> profiles, Map<String, Service> services) {
     List<Problem> problems = new ArrayList<>();
     Set<String> ids = new HashSet<>();
     Set<String> prefixes = new HashSet<>();
@@ -96,11 +98,11 @@
       }
       if (!prefixes.add(service.pathPrefix())) {
         problems.add(
-            new Problem(file + ": pathPrefix", service.pathPrefix(), "a prefix used once"));
+            new Problem(file + ": pathPrefix", service.pathPrefix(), "a unique path prefix"));
       }
       for (BackendServer server : service.servers()) {
         if (!ids.add(server.id())) {
-          problems.add(new Problem(file + ": servers", server.id(), "an id used once"));
+          problems.add(new Problem(file + ": servers", server.id(), "a unique id"));
         }
       }
     }
--- a/core/src/main/java/org/magnoliaswitch/core/version/Validator.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/Validator.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Collects problems while values are compared with what is allowed. */
+/** Checks values of one document and collects every rule that they violate. */
 public final class Validator {
   private final String file;
   private final List<Problem> problems = new ArrayList<>();
@@ -12,33 +12,33 @@
     this.file = file;
   }
 
-  /** Notes a problem when a number lies outside a closed range. */
-  public void requireRange(String path, double value, double low, double high) {
-    if (!(value >= low && value <= high)) {
-      add(path, String.valueOf(value), "a number from " + low + " to " + high);
+  /** Adds a problem if the number is NaN or lies outside the closed range. */
+  public void requireRange(String path, double value, double min, double max) {
+    if (!(value >= min && value <= max)) {
+      add(path, String.valueOf(value), "a number from " + min + " to " + max);
     }
   }
 
-  /** Notes a problem when a text does not match a regular expression. */
+  /** Adds a problem if the whole string does not match the regular expression. */
   public void requireMatch(String path, String value, String pattern) {
     if (!value.matches(pattern)) {
-      add(path, '"' + value + '"', "a text that matches " + pattern);
+      add(path, '"' + value + '"', "a value that matches " + pattern);
     }
   }
 
-  /** Notes a problem when a condition does not hold. */
+  /** Adds a problem if the condition is false. */
   public void require(boolean condition, String path, String found, String allowed) {
     if (!condition) {
       add(path, found, allowed);
     }
   }
 
-  /** Notes a problem. */
+  /** Adds a problem at the given JSON path. */
   public void add(String path, String found, String allowed) {
     problems.add(new Problem(file + ": " + path, found, allowed));
   }
 
-  /** What was noted so far. */
+  /** Returns the problems found so far, in the order of the checks. */
   public List<Problem> problems() {
     return problems;
   }
--- a/core/src/main/java/org/magnoliaswitch/core/version/package-info.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What lives as long as one configuration version: profiles, services, manifests, checks and
- * differences.
+ * The contents of a configuration version: profiles, services and manifests, their parsing,
+ * validation and comparison. A value of this package lives as long as the version.
  */
 @NullMarked
 package org.magnoliaswitch.core.version;
--- a/core/src/test/java/org/magnoliaswitch/core/version/ConfigurationDiffTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/version/ConfigurationDiffTest.java
@@ -7,7 +7,7 @@
 import org.magnoliaswitch.core.testing.Declarations;
 import org.testng.annotations.Test;
 
-/** Differences as operators read them. */
+/** Tests of the differences that are shown to operators. */
 public final class ConfigurationDiffTest {
   @Test
   public void namesServerByIdAndBothValues() {
@@ -25,9 +25,10 @@
 
   @Test
   public void namesAddedAndRemovedFiles() {
-    byte[] any = "{}".getBytes(java.nio.charset.StandardCharsets.UTF_8);
+    byte[] content = "{}".getBytes(java.nio.charset.StandardCharsets.UTF_8);
     assertEquals(
-        ConfigurationDiff.lines(Map.of("services/a.json", any), Map.of("services/b.json", any)),
+        ConfigurationDiff.lines(
+            Map.of("services/a.json", content), Map.of("services/b.json", content)),
         List.of("- services/a.json", "+ services/b.json"));
   }
 }
--- a/core/src/test/java/org/magnoliaswitch/core/version/SchemaTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/version/SchemaTest.java
@@ -14,9 +14,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The committed JSON Schemas for editors are those of the records. */
+/** Checks that the committed JSON Schemas, which editors use, match the records. */
 public final class SchemaTest {
-  /** Set to {@code true} to write the schemas anew after a change of the records. */
+  /**
+   * System property; {@code true} rewrites the schemas, which is needed after a change of the
+   * records.
+   */
   private static final String REWRITE = "magnolia.rewriteSchemas";
 
   @DataProvider
--- a/core/src/test/java/org/magnoliaswitch/core/version/SnapshotParserTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/version/SnapshotParserTest.java
@@ -10,12 +10,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Checks of declarations. */
+/** Tests of the parsing and validation of declarations. */
 public final class SnapshotParserTest {
-  /** What is accepted. */
-  public static final class Accepted {
+  /** Valid declarations. */
+  public static final class ValidDeclarations {
     @Test
-    public void longestPrefixNamesTheService() throws InvalidDeclarationException {
+    public void prefixOfWholeSegmentsSelectsTheService() throws InvalidDeclarationException {
       Snapshot snapshot =
           SnapshotParser.parse(
               3, "d", Declarations.parts(Declarations.profile(), Declarations.service(8001)));
@@ -24,10 +24,10 @@
     }
   }
 
-  /** What is refused, and what the message names. */
-  public static final class Refused {
+  /** Invalid declarations and the file, path and value that the message names. */
+  public static final class InvalidDeclarations {
     @DataProvider
-    public static Object[][] faults() {
+    public static Object[][] invalidValues() {
       return new Object[][] {
         {
           "profiles/standard.json",
@@ -74,20 +74,21 @@
       };
     }
 
-    @Test(dataProvider = "faults")
-    public void namesFileAndPath(String file, String right, String wrong, String expected) {
+    @Test(dataProvider = "invalidValues")
+    public void messageNamesFileAndPath(
+        String file, String valid, String invalid, String expected) {
       Map<String, byte[]> parts =
           Declarations.parts(Declarations.profile(), Declarations.service(8001));
       String text = new String(parts.get(file), StandardCharsets.UTF_8);
-      assertTrue(text.contains(right), text);
+      assertTrue(text.contains(valid), text);
       parts.put(
           file,
-          text.replaceFirst(java.util.regex.Pattern.quote(right), wrong)
+          text.replaceFirst(java.util.regex.Pattern.quote(valid), invalid)
               .getBytes(StandardCharsets.UTF_8));
-      InvalidDeclarationException refused =
+      InvalidDeclarationException exception =
           expectThrows(
               InvalidDeclarationException.class, () -> SnapshotParser.parse(1, "d", parts));
-      assertTrue(String.valueOf(refused.getMessage()).contains(expected), refused.getMessage());
+      assertTrue(String.valueOf(exception.getMessage()).contains(expected), exception.getMessage());
     }
   }
 }
