--- a/core/src/main/java/org/magnoliaswitch/core/platform/HttpPlatform.java
+++ b/core/src/main/java/org/magnoliaswitch/core/platform/HttpPlatform.java
@@ -22,7 +22,7 @@
 import org.apache.hc.core5.util.Timeout;
 import org.magnoliaswitch.core.version.Json;
 
-/** HTTP adapter of the platform's table service, object store and instance list. */
+/** HTTP client of the platform's table service, object store and instance list. */
 public final class HttpPlatform implements PlatformTable, ObjectStore, InstanceList, AutoCloseable {
   private static final int OK = 200;
   private static final int NOT_FOUND = 404;
@@ -44,7 +44,9 @@
             .setResponseTimeout(timeout)
             .setConnectionRequestTimeout(timeout)
             .build();
-    // Retries of the client library are off: a repeated transaction would hide a lost answer.
+    // The client library must not retry: a repeated transaction would report a conflict with its
+    // own
+    // first attempt and hide that only the answer to that attempt was lost.
     this.client =
         HttpClients.custom()
             .setConnectionManager(
@@ -62,20 +64,20 @@
   @Override
   public List<Row> read(List<String> keys) throws PlatformException {
     HttpPost request = new HttpPost(base.resolve("/table/read"));
-    request.setEntity(json(keys));
-    return rows(request);
+    request.setEntity(jsonEntity(keys));
+    return fetchRows(request);
   }
 
   @Override
   public List<Row> scan(String prefix, int limit) throws PlatformException {
-    return rows(
+    return fetchRows(
         new HttpGet(base.resolve("/table/scan?limit=" + limit + "&prefix=" + encode(prefix))));
   }
 
   @Override
   public TransactionResult transact(List<ConditionalWrite> writes) {
     HttpPost request = new HttpPost(base.resolve("/table/transact"));
-    request.setEntity(json(writes));
+    request.setEntity(jsonEntity(writes));
     try {
       Response response = execute(request);
       return switch (response.status()) {
@@ -116,7 +118,7 @@
     client.close();
   }
 
-  private List<Row> rows(HttpUriRequestBase request) throws PlatformException {
+  private List<Row> fetchRows(HttpUriRequestBase request) throws PlatformException {
     byte[] body = expectOk(call(request));
     try {
       return parseRows(body);
@@ -156,7 +158,7 @@
     return response.body();
   }
 
-  private static ByteArrayEntity json(Object value) {
+  private static ByteArrayEntity jsonEntity(Object value) {
     try {
       return new ByteArrayEntity(
           Json.MAPPER.writeValueAsBytes(value), ContentType.APPLICATION_JSON);
--- a/core/src/main/java/org/magnoliaswitch/core/platform/InstanceList.java
+++ b/core/src/main/java/org/magnoliaswitch/core/platform/InstanceList.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 
-/** The platform's lagging list of live and leaving machines. */
+/** The platform's list of running and leaving machines. It may lag behind the actual state. */
 public interface InstanceList {
-  /** One listed machine: entry instance or backend server. */
+  /** An entry instance or a backend server in the list. */
   record ListedMachine(String id, boolean leaving) {}
 
-  /** The list as the platform now shows it. */
+  /** Reads the current list. */
   List<ListedMachine> list() throws PlatformException;
 }
--- a/core/src/main/java/org/magnoliaswitch/core/platform/ObjectStore.java
+++ b/core/src/main/java/org/magnoliaswitch/core/platform/ObjectStore.java
@@ -4,9 +4,9 @@
 
 /** The platform's object store. */
 public interface ObjectStore {
-  /** Reads an object. */
+  /** Reads an object; empty if it does not exist. */
   Optional<byte[]> get(String name) throws PlatformException;
 
-  /** Stores an object; repeating the same content under the same name is harmless. */
+  /** Stores an object. The operation is idempotent for the same name and content. */
   void put(String name, byte[] content) throws PlatformException;
 }
--- a/core/src/main/java/org/magnoliaswitch/core/platform/PlatformException.java
+++ b/core/src/main/java/org/magnoliaswitch/core/platform/PlatformException.java
@@ -1,6 +1,6 @@
 package org.magnoliaswitch.core.platform;
 
-/** Thrown when the platform gives no usable answer to a read. */
+/** Thrown when the platform gives no usable answer to a call. */
 public final class PlatformException extends Exception {
   public PlatformException(String message, Throwable cause) {
     super(message, cause);
--- a/core/src/main/java/org/magnoliaswitch/core/platform/PlatformTable.java
+++ b/core/src/main/java/org/magnoliaswitch/core/platform/PlatformTable.java
@@ -4,12 +4,15 @@
 
 /** The platform's transactional table service. */
 public interface PlatformTable {
-  /** Reads rows; absent ones come back with version 0. */
+  /** Reads rows; an absent row is returned with version 0. */
   List<Row> read(List<String> keys) throws PlatformException;
 
-  /** Reads rows whose keys start with a prefix, at most {@code limit}, highest key first. */
+  /** Reads at most {@code limit} rows whose keys start with the prefix, in descending key order. */
   List<Row> scan(String prefix, int limit) throws PlatformException;
 
-  /** Performs all writes or none; writes whose condition fails are told as a conflict. */
+  /**
+   * Applies all writes or none. If a row does not have the expected version, the result is a
+   * conflict with the current rows.
+   */
   TransactionResult transact(List<ConditionalWrite> writes);
 }
--- a/core/src/main/java/org/magnoliaswitch/core/platform/TransactionResult.java
+++ b/core/src/main/java/org/magnoliaswitch/core/platform/TransactionResult.java
@@ -2,22 +2,22 @@
 
 import java.util.List;
 
-/** The outcome of a table transaction as far as the writer can know it. */
+/** The result of a table transaction, as far as it is known to the writer. */
 public sealed interface TransactionResult {
-  /** All writes took effect. */
+  /** All writes were applied. */
   record Committed() implements TransactionResult {}
 
   /**
-   * None took effect, since these rows had other versions.
+   * No write was applied, because at least one row did not have the expected version.
    *
-   * @param rows the rows as they are
+   * @param rows current state of the rows with other versions
    */
   record Conflict(List<Row> rows) implements TransactionResult {}
 
   /**
-   * No answer came. The writes may have taken effect, or may still do so later.
+   * No valid answer was received. The writes may have been applied or may still be applied later.
    *
-   * @param reason for logs
+   * @param reason description of the failure, for logs and operators
    */
   record Unknown(String reason) implements TransactionResult {}
 }
--- a/core/src/main/java/org/magnoliaswitch/core/platform/package-info.java
+++ b/core/src/main/java/org/magnoliaswitch/core/platform/package-info.java
@@ -1,4 +1,6 @@
-/** Ports to the platform's table service, object store and instance list, with an HTTP adapter. */
+/**
+ * Interfaces to the platform's table service, object store and instance list, with an HTTP client.
+ */
 @NullMarked
 package org.magnoliaswitch.core.platform;
 
