--- a/core/src/main/java/org/magnoliaswitch/core/operator/ChangeReply.java
+++ b/core/src/main/java/org/magnoliaswitch/core/operator/ChangeReply.java
@@ -3,21 +3,22 @@
 import java.util.List;
 
 /**
- * What came of a change.
+ * The response to a configuration change.
  *
- * @param status what came of it
- * @param version the accepted version, or the current one when raced
- * @param messages problems, or what the other change changed
+ * @param status result of the change
+ * @param version the accepted version; the current version if another change was accepted first
+ * @param messages problems of an invalid change, the differences from the current version, or the
+ *     reason why the result is unknown
  */
 public record ChangeReply(Status status, long version, List<String> messages) {
-  /** What came of a change. */
+  /** The result of a change. */
   public enum Status {
     ACCEPTED,
-    /** It was accepted earlier under the same change id. */
+    /** A change with the same change id was accepted before. */
     ALREADY_ACCEPTED,
-    /** Another change came first. */
+    /** Another change was accepted first. */
     RACED,
-    /** The platform did not say; the same change may be sent again. */
+    /** The platform's answer is missing; the operator may send the same change again. */
     UNDECIDED,
     INVALID
   }
--- a/core/src/main/java/org/magnoliaswitch/core/operator/ChangeService.java
+++ b/core/src/main/java/org/magnoliaswitch/core/operator/ChangeService.java
@@ -20,7 +20,10 @@
 import org.magnoliaswitch.core.version.Problem;
 import org.magnoliaswitch.core.version.SnapshotParser;
 
-/** Checks changes, has them accepted by the store and puts them in force here first. */
+/**
+ * Validates configuration changes, submits them to the store and activates accepted versions on
+ * this instance.
+ */
 public final class ChangeService {
   private final ControlPlane control;
 
@@ -28,7 +31,9 @@
     this.control = control;
   }
 
-  /** Serves a change; accepted is said only after the platform confirmed the transaction. */
+  /**
+   * Submits a change. The status is accepted only if the platform has confirmed the transaction.
+   */
   public ChangeReply submit(ChangeRequest request) {
     Map<String, byte[]> parts = new TreeMap<>();
     request.parts().forEach((path, text) -> parts.put(path, text.getBytes(StandardCharsets.UTF_8)));
@@ -61,19 +66,19 @@
     byte[] encoded = encode(manifest);
     String digest = Digest.of(encoded);
     contents.put(digest, encoded);
-    // What is held belongs to an accepted version, so the store has it already.
-    contents.keySet().removeIf(held -> control.cache().get(held).isPresent());
+    // Cached contents belong to an accepted version, so the store already contains them.
+    contents.keySet().removeIf(key -> control.cache().get(key).isPresent());
     Acceptance acceptance = control.store().accept(manifest, digest, contents);
     return switch (acceptance) {
-      case Acceptance.Accepted accepted -> accepted(accepted, contents);
-      case Acceptance.Raced raced -> raced(request, raced.current());
+      case Acceptance.Accepted accepted -> activate(accepted, contents);
+      case Acceptance.Raced raced -> compareWithCurrent(request, raced.current());
       case Acceptance.Undecided undecided ->
           new ChangeReply(
               ChangeReply.Status.UNDECIDED, request.baseVersion(), List.of(undecided.reason()));
     };
   }
 
-  private ChangeReply accepted(Acceptance.Accepted accepted, Map<String, byte[]> contents) {
+  private ChangeReply activate(Acceptance.Accepted accepted, Map<String, byte[]> contents) {
     long version = accepted.head().version();
     if (accepted.repeated()) {
       return new ChangeReply(ChangeReply.Status.ALREADY_ACCEPTED, version, List.of());
@@ -85,26 +90,27 @@
         control.gossip().pushNews();
       }
     } catch (IOException e) {
-      // It is accepted all the same; this instance follows as any other does.
+      // The version is accepted nevertheless. This instance adopts it later, like any other
+      // instance.
       control.state().timeline().record(EventKind.VERSION_REFUSED, "version=" + version);
     }
     return new ChangeReply(ChangeReply.Status.ACCEPTED, version, List.of());
   }
 
-  private ChangeReply raced(ChangeRequest request, ConfigurationStore.Head current) {
-    List<String> changed;
+  private ChangeReply compareWithCurrent(ChangeRequest request, ConfigurationStore.Head current) {
+    List<String> differences;
     try {
-      Map<String, byte[]> now = bytes(loadStored(current.manifest()).parts());
-      Map<String, byte[]> wanted = bytes(request.parts());
-      changed = ConfigurationDiff.lines(now, wanted);
+      Map<String, byte[]> currentParts = encodeParts(loadStored(current.manifest()).parts());
+      Map<String, byte[]> requestedParts = encodeParts(request.parts());
+      differences = ConfigurationDiff.lines(currentParts, requestedParts);
     } catch (IOException | PlatformException e) {
-      changed = List.of("the current version cannot be read now: " + e.getMessage());
+      differences = List.of("the current version cannot be read now: " + e.getMessage());
     }
-    return new ChangeReply(ChangeReply.Status.RACED, current.version(), changed);
+    return new ChangeReply(ChangeReply.Status.RACED, current.version(), differences);
   }
 
-  /** A version whose contents are held here. */
-  public VersionView loadHeld(String digest) throws IOException {
+  /** Returns a version whose contents are in this instance's cache. */
+  public VersionView loadCached(String digest) throws IOException {
     try {
       return load(digest, d -> control.cache().get(d));
     } catch (PlatformException e) {
@@ -112,7 +118,7 @@
     }
   }
 
-  /** A version from the store. */
+  /** Returns a version from the store. */
   public VersionView loadStored(String digest) throws IOException, PlatformException {
     return load(digest, control.store()::content);
   }
@@ -124,19 +130,24 @@
   private static VersionView load(String digest, Loader loader)
       throws IOException, PlatformException {
     byte[] content =
-        loader.load(digest).orElseThrow(() -> new IOException("no manifest " + digest));
+        loader.load(digest).orElseThrow(() -> new IOException("no manifest with digest " + digest));
     Manifest manifest = Json.MAPPER.readValue(content, Manifest.class);
     TreeMap<String, String> parts = new TreeMap<>();
     for (Map.Entry<String, String> part : manifest.parts().entrySet()) {
       byte[] text =
-          loader.load(part.getValue()).orElseThrow(() -> new IOException("no " + part.getKey()));
+          loader
+              .load(part.getValue())
+              .orElseThrow(
+                  () ->
+                      new IOException(
+                          part.getKey() + ": no content with digest " + part.getValue()));
       parts.put(part.getKey(), new String(text, StandardCharsets.UTF_8));
     }
     return new VersionView(
         manifest.version(), manifest.changeId(), manifest.author(), manifest.note(), parts);
   }
 
-  private static Map<String, byte[]> bytes(Map<String, String> texts) {
+  private static Map<String, byte[]> encodeParts(Map<String, String> texts) {
     Map<String, byte[]> bytes = new TreeMap<>();
     texts.forEach((path, text) -> bytes.put(path, text.getBytes(StandardCharsets.UTF_8)));
     return bytes;
--- a/core/src/main/java/org/magnoliaswitch/core/operator/package-info.java
+++ b/core/src/main/java/org/magnoliaswitch/core/operator/package-info.java
@@ -1,4 +1,7 @@
-/** What operators' tools and instances say to each other. */
+/**
+ * Messages between operators' tools and instances, and the service that accepts configuration
+ * changes.
+ */
 @NullMarked
 package org.magnoliaswitch.core.operator;
 
--- a/core/src/test/java/org/magnoliaswitch/core/operator/PropagationTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/operator/PropagationTest.java
@@ -30,14 +30,16 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Versions and departures among instances that talk over real sockets. */
-public final class SpreadTest {
+/**
+ * Tests how versions, departures and crashes propagate between instances connected by real sockets.
+ */
+public final class PropagationTest {
   private FakePlatform platform = new FakePlatform();
   private final List<ControlPlane> instances = new ArrayList<>();
   private final List<Address> seeds = new ArrayList<>();
 
   @BeforeMethod
-  public void fresh() {
+  public void resetPlatform() {
     platform = new FakePlatform();
     seeds.clear();
   }
@@ -49,15 +51,18 @@
   }
 
   @Test
-  public void anAcceptedVersionComesIntoForceEverywhere() throws Exception {
+  public void anAcceptedVersionBecomesActiveOnAllInstances() throws Exception {
     start(4);
     assertEquals(change(0, "first", 8001).version(), 1);
     await(() -> instances.stream().allMatch(i -> version(i) == 1));
   }
 
-  /** The store goes down right after acceptance; instances have only each other. */
+  /**
+   * The store fails right after it accepted a version, so that instances can get it only from
+   * peers.
+   */
   @Test
-  public void aVersionSpreadsWithoutTheStore() throws Exception {
+  public void aVersionPropagatesWithoutTheStore() throws Exception {
     start(4);
     change(0, "first", 8001);
     await(() -> instances.stream().allMatch(i -> version(i) == 1));
@@ -67,11 +72,11 @@
   }
 
   /**
-   * An instance is replaced while the store is out. The new one takes the newest version its peers
-   * have, and is not ready before that.
+   * An instance starts while the store is unavailable. It must adopt the newest version of its
+   * peers and must not be ready before.
    */
   @Test
-  public void aFreshInstanceTakesTheNewestVersionOfItsPeers() throws Exception {
+  public void aNewInstanceAdoptsTheNewestVersionOfItsPeers() throws Exception {
     start(3);
     change(0, "first", 8001);
     change(0, "second", 8002);
@@ -91,7 +96,7 @@
   }
 
   @Test
-  public void anOperatorsWordSpreadsWithoutTheStore() throws Exception {
+  public void aDepartureSetByAnOperatorPropagatesWithoutTheStore() throws Exception {
     start(4);
     platform.setUnavailable(true);
     await(() -> instances.stream().allMatch(i -> i.state().membership().size() == 4));
@@ -101,11 +106,12 @@
   }
 
   /**
-   * Each of three instances sees one server end under a request, the last in the knowledge of the
-   * others. All four must know what that makes, without the store; one that starts later too.
+   * Each of three instances sees one server crash while serving the same request; the third knew
+   * that the request was suspect. Without the store, all four instances must learn that the request
+   * is confirmed as the cause, and so must an instance that starts later.
    */
   @Test
-  public void endsOfServersAreKnownEverywhere() throws Exception {
+  public void crashesOfServersPropagateToAllInstances() throws Exception {
     RequestIdentity request = new RequestIdentity(1, 2);
     start(4);
     platform.setUnavailable(true);
@@ -123,21 +129,22 @@
   }
 
   @Test
-  public void aChangeMadeFromAnOldVersionIsRefused() throws Exception {
+  public void aChangeBasedOnAnOldVersionIsRejected() throws Exception {
     start(1);
     change(0, "first", 8001);
     change(0, "second", 8002);
-    ChangeReply late = ask(instances.getFirst(), "late", 1, 8003);
-    assertEquals(late.status(), ChangeReply.Status.RACED);
-    assertTrue(late.messages().stream().anyMatch(line -> line.contains("server-8002")));
+    ChangeReply reply = submit(instances.getFirst(), "late", 1, 8003);
+    assertEquals(reply.status(), ChangeReply.Status.RACED);
+    assertTrue(reply.messages().stream().anyMatch(line -> line.contains("server-8002")));
   }
 
   @Test
-  public void aRepeatedChangeIsAcceptedOnce() throws Exception {
+  public void aRepeatedChangeIsAcceptedOnlyOnce() throws Exception {
     start(1);
     change(0, "first", 8001);
     assertEquals(
-        ask(instances.getFirst(), "first", 0, 8001).status(), ChangeReply.Status.ALREADY_ACCEPTED);
+        submit(instances.getFirst(), "first", 0, 8001).status(),
+        ChangeReply.Status.ALREADY_ACCEPTED);
   }
 
   private void start(int count) throws IOException {
@@ -162,17 +169,17 @@
   }
 
   private ChangeReply change(int instance, String id, int port) {
-    ControlPlane at = instances.get(instance);
-    ChangeReply reply = ask(at, id, version(at), port);
+    ControlPlane target = instances.get(instance);
+    ChangeReply reply = submit(target, id, version(target), port);
     assertEquals(reply.status(), ChangeReply.Status.ACCEPTED, reply.toString());
     return reply;
   }
 
-  private static ChangeReply ask(ControlPlane at, String id, long base, int port) {
+  private static ChangeReply submit(ControlPlane target, String id, long base, int port) {
     Map<String, String> parts = new TreeMap<>();
     Declarations.parts(Declarations.profile(), Declarations.service(port))
         .forEach((path, content) -> parts.put(path, new String(content, StandardCharsets.UTF_8)));
-    return new ChangeService(at).submit(new ChangeRequest(base, id, "test", "", parts));
+    return new ChangeService(target).submit(new ChangeRequest(base, id, "test", "", parts));
   }
 
   private static long version(ControlPlane instance) {
--- a/entry/src/main/java/org/magnoliaswitch/entry/ConfigurationResource.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/ConfigurationResource.java
@@ -40,7 +40,7 @@
     String digest = control.state().version().get().digest();
     return digest.isEmpty()
         ? new VersionView(0, "", "", "", new TreeMap<>())
-        : changes.loadHeld(digest);
+        : changes.loadCached(digest);
   }
 
   /** The latest accepted versions, newest first. */
