--- a/core/src/main/java/org/magnoliaswitch/core/clock/Clocks.java
+++ b/core/src/main/java/org/magnoliaswitch/core/clock/Clocks.java
@@ -4,23 +4,23 @@
 import java.time.InstantSource;
 
 /**
- * The clocks of a process, which tests pause and advance.
+ * The clocks of a process; tests replace them by clocks that they advance manually.
  *
- * @param wall wall-clock time, for time stamps that people and other processes read
- * @param ticker monotonic nanoseconds, for deadlines and ages
+ * @param wall wall-clock time, for timestamps that people and other processes read
+ * @param ticker monotonic time in nanoseconds, for deadlines and ages
  */
 public record Clocks(InstantSource wall, Ticker ticker) {
-  /** The clocks of the runtime. */
+  /** Returns the system clocks. */
   public static Clocks system() {
     return new Clocks(InstantSource.system(), Ticker.systemTicker());
   }
 
-  /** Monotonic nanoseconds. */
+  /** Returns the monotonic time in nanoseconds. */
   public long nanos() {
     return ticker.read();
   }
 
-  /** Wall-clock milliseconds since the epoch. */
+  /** Returns the wall-clock time in milliseconds since the epoch. */
   public long millis() {
     return wall.millis();
   }
--- a/core/src/main/java/org/magnoliaswitch/core/clock/HybridClock.java
+++ b/core/src/main/java/org/magnoliaswitch/core/clock/HybridClock.java
@@ -3,9 +3,9 @@
 import java.time.InstantSource;
 import java.util.concurrent.atomic.AtomicReference;
 
-/** Issues hybrid logical time stamps and merges those of received messages. */
+/** Issues hybrid logical timestamps and merges the timestamps of received messages. */
 public final class HybridClock {
-  /** Bounds how far a peer with a wrong clock can push this one ahead. */
+  /** Limits how far a peer with a wrong clock can advance this clock. */
   private static final long MAX_DRIFT_MILLIS = 60_000;
 
   private final InstantSource wall;
@@ -16,21 +16,24 @@
     this.wall = wall;
   }
 
-  /** A time stamp after all that were issued or merged before. */
+  /** Returns a timestamp greater than all timestamps issued or merged before. */
   public HybridTimestamp next() {
-    return last.updateAndGet(before -> successor(before, wall.millis()));
+    return last.updateAndGet(previous -> successor(previous, wall.millis()));
   }
 
-  /** Makes later time stamps exceed one that a peer sent. */
+  /**
+   * Makes all later timestamps greater than the received one, unless it is more than {@link
+   * #MAX_DRIFT_MILLIS} ahead of the wall clock.
+   */
   public void merge(HybridTimestamp received) {
     if (received.millis() <= wall.millis() + MAX_DRIFT_MILLIS) {
       last.accumulateAndGet(received, (a, b) -> a.compareTo(b) >= 0 ? a : b);
     }
   }
 
-  private static HybridTimestamp successor(HybridTimestamp before, long now) {
-    return now > before.millis()
+  private static HybridTimestamp successor(HybridTimestamp previous, long now) {
+    return now > previous.millis()
         ? new HybridTimestamp(now, 0)
-        : new HybridTimestamp(before.millis(), before.counter() + 1);
+        : new HybridTimestamp(previous.millis(), previous.counter() + 1);
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/clock/HybridTimestamp.java
+++ b/core/src/main/java/org/magnoliaswitch/core/clock/HybridTimestamp.java
@@ -3,12 +3,12 @@
 import java.util.Comparator;
 
 /**
- * A time stamp that respects causality across processes.
+ * A timestamp whose order is consistent with causality across processes.
  *
  * <p>Source: Kulkarni et al., "Logical Physical Clocks" (OPODIS 2014).
  *
- * @param millis largest wall-clock time seen
- * @param counter orders events within the same millisecond
+ * @param millis largest wall-clock time known when the timestamp was issued
+ * @param counter orders events with the same value of {@code millis}
  */
 public record HybridTimestamp(long millis, int counter) implements Comparable<HybridTimestamp> {
   private static final Comparator<HybridTimestamp> ORDER =
--- a/core/src/main/java/org/magnoliaswitch/core/clock/package-info.java
+++ b/core/src/main/java/org/magnoliaswitch/core/clock/package-info.java
@@ -1,4 +1,4 @@
-/** Clocks of a process: wall clock, monotonic ticker and the hybrid logical clock. */
+/** The clocks of a process: wall clock, monotonic clock and hybrid logical clock. */
 @NullMarked
 package org.magnoliaswitch.core.clock;
 
--- a/core/src/test/java/org/magnoliaswitch/core/clock/HybridClockTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/clock/HybridClockTest.java
@@ -8,32 +8,32 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Order of events over processes. */
+/** Tests of the order and the drift limit of hybrid timestamps. */
 public final class HybridClockTest {
-  private ManualClock time = new ManualClock();
-  private HybridClock clock = new HybridClock(time);
+  private ManualClock wallClock = new ManualClock();
+  private HybridClock clock = new HybridClock(wallClock);
 
   @BeforeMethod
-  public void fresh() {
-    time = new ManualClock();
-    clock = new HybridClock(time);
+  public void createClock() {
+    wallClock = new ManualClock();
+    clock = new HybridClock(wallClock);
   }
 
   @Test
-  public void risesWhileTheWallClockStands() {
+  public void advancesWhileTheWallClockStandsStill() {
     assertTrue(clock.next().compareTo(clock.next()) < 0);
   }
 
   @Test
-  public void exceedsWhatAPeerWithAClockAheadSent() {
-    HybridTimestamp ahead = new HybridTimestamp(time.millis() + 500, 7);
+  public void exceedsATimestampFromAPeerWhoseClockIsAhead() {
+    HybridTimestamp ahead = new HybridTimestamp(wallClock.millis() + 500, 7);
     clock.merge(ahead);
     assertTrue(clock.next().compareTo(ahead) > 0);
   }
 
   @Test
-  public void isNotPushedFarAheadByAWrongClock() {
-    clock.merge(new HybridTimestamp(time.millis() + Duration.ofDays(1).toMillis(), 0));
-    assertEquals(clock.next().millis(), time.millis());
+  public void ignoresATimestampBeyondTheDriftLimit() {
+    clock.merge(new HybridTimestamp(wallClock.millis() + Duration.ofDays(1).toMillis(), 0));
+    assertEquals(clock.next().millis(), wallClock.millis());
   }
 }
