--- a/core/src/test/java/org/magnoliaswitch/core/ArchitectureTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/ArchitectureTest.java
@@ -9,7 +9,10 @@
 import com.tngtech.archunit.library.Architectures;
 import org.testng.annotations.Test;
 
-/** Layers by life span: what lives shorter may use what lives longer, never the other way round. */
+/**
+ * Checks the dependencies between packages. Packages form layers by lifetime: code for short-lived
+ * objects may use code for longer-lived objects, but not the reverse.
+ */
 public final class ArchitectureTest {
   private static final JavaClasses CLASSES =
       new ClassFileImporter()
@@ -17,7 +20,7 @@
           .importPackages("org.magnoliaswitch.core");
 
   @Test
-  public void layersPointOneWay() {
+  public void layersDependInOneDirection() {
     Architectures.layeredArchitecture()
         .consideringOnlyDependenciesInLayers()
         .layer("clock")
@@ -55,7 +58,7 @@
   }
 
   @Test
-  public void decisionsOnCrashesKnowNeitherNetworkNorClock() {
+  public void crashDecisionsDependOnNeitherNetworkNorClock() {
     noClasses()
         .that()
         .resideInAPackage("..core.crash..")
@@ -66,7 +69,7 @@
   }
 
   @Test
-  public void declarationsKnowNothingOfNetworks() {
+  public void declarationsDoNotDependOnNetworking() {
     noClasses()
         .that()
         .resideInAPackage("..core.version..")
--- a/core/src/test/java/org/magnoliaswitch/core/testing/Declarations.java
+++ b/core/src/test/java/org/magnoliaswitch/core/testing/Declarations.java
@@ -18,22 +18,22 @@
 import org.magnoliaswitch.core.version.ServerState;
 import org.magnoliaswitch.core.version.Service;
 
-/** Small valid declarations. */
+/** Small valid declarations for tests. */
 public final class Declarations {
-  /** A read that may be repeated. */
+  /** An idempotent read. */
   public static final RequestKind READ =
       new RequestKind("read", "GET", "/", Execution.IDEMPOTENT, 1, 1_000);
 
-  /** A booking that may not. */
+  /** A booking that is executed at most once. */
   public static final RequestKind BOOK =
       new RequestKind("book", "POST", "/book", Execution.AT_MOST_ONCE, 10, 2_000);
 
-  /** The product's own routing policy. */
+  /** Parameters of the fresh-load routing policy. */
   public static final RoutingPolicy.FreshLoad FRESH_LOAD = new RoutingPolicy.FreshLoad(5, 60, 2);
 
   private Declarations() {}
 
-  /** A profile with both kinds. */
+  /** Returns a profile with the kinds {@link #BOOK} and {@link #READ}. */
   public static Profile profile() {
     return new Profile(
         "standard",
@@ -46,7 +46,7 @@
         List.of(BOOK, READ));
   }
 
-  /** A service with servers on the given ports. */
+  /** Returns a service with a server on each of the given ports. */
   public static Service service(int... ports) {
     List<BackendServer> servers = new ArrayList<>();
     for (int port : ports) {
@@ -55,12 +55,12 @@
     return new Service("booking", "/booking", "standard", 0.5, servers);
   }
 
-  /** A server on the loopback address. */
+  /** Returns a server on the loopback address. */
   public static BackendServer server(String id, int port) {
     return new BackendServer(id, "dc-1", "127.0.0.1", port, 6, 250, ServerState.ACTIVE);
   }
 
-  /** The declarations of one profile and one service as parts of a version. */
+  /** Returns a profile and a service as the parts of a version. */
   public static Map<String, byte[]> parts(Profile profile, Service service) {
     Map<String, byte[]> parts = new HashMap<>();
     parts.put("profiles/" + profile.name() + ".json", json(profile));
@@ -68,7 +68,7 @@
     return parts;
   }
 
-  /** A value as JSON. */
+  /** Returns a value as JSON. */
   public static byte[] json(Object value) {
     try {
       return Json.MAPPER.writeValueAsString(value).getBytes(StandardCharsets.UTF_8);
--- a/core/src/test/java/org/magnoliaswitch/core/testing/FakePlatform.java
+++ b/core/src/test/java/org/magnoliaswitch/core/testing/FakePlatform.java
@@ -16,16 +16,18 @@
 import org.magnoliaswitch.core.platform.Row;
 import org.magnoliaswitch.core.platform.TransactionResult;
 
-/** Table and object store in memory, with the faults that a test asks for next. */
+/**
+ * A table service and an object store in memory. Faults are injected into the next transactions.
+ */
 public final class FakePlatform implements PlatformTable, ObjectStore {
-  /** What happens to the next transaction. */
+  /** The fault of a transaction. */
   public enum Fault {
     NONE,
-    /** Nothing takes effect and no answer comes. */
+    /** The writes are not applied and the result is unknown. */
     DROPPED,
-    /** It takes effect and no answer comes. */
+    /** The writes are applied, but the result is unknown. */
     ANSWER_LOST,
-    /** No answer comes; it takes effect when {@link #applyDelayedWrites} is called. */
+    /** The result is unknown; the writes are applied by {@link #applyDelayedWrites}. */
     DELAYED
   }
 
@@ -38,7 +40,7 @@
   private boolean unavailable;
   private int transactions;
 
-  /** Queues faults for the next transactions. */
+  /** Queues faults for the next transactions, in this order. */
   public synchronized void queueFaults(Fault... queued) {
     faults.addAll(List.of(queued));
   }
@@ -49,17 +51,17 @@
   }
 
   /** Makes every call fail, or succeed again. */
-  public synchronized void setUnavailable(boolean state) {
-    unavailable = state;
+  public synchronized void setUnavailable(boolean value) {
+    unavailable = value;
   }
 
-  /** Lets writes that were under way take effect. */
+  /** Applies the delayed writes, as far as their conditions still hold. */
   public synchronized void applyDelayedWrites() {
     delayed.forEach(this::apply);
     delayed.clear();
   }
 
-  /** Transactions that took effect or conflicted. */
+  /** Returns the number of transactions that were applied or that conflicted. */
   public synchronized int transactions() {
     return transactions;
   }
--- a/core/src/test/java/org/magnoliaswitch/core/testing/ManualClock.java
+++ b/core/src/test/java/org/magnoliaswitch/core/testing/ManualClock.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.magnoliaswitch.core.clock.Clocks;
 
-/** Clocks that stand still until a test advances them. */
+/** A wall clock and a monotonic clock that change only when a test advances them. */
 public final class ManualClock extends Ticker implements InstantSource {
   private static final long START_MILLIS = 1_800_000_000_000L;
 
@@ -23,12 +23,12 @@
     return Instant.ofEpochMilli(START_MILLIS + nanos.get() / 1_000_000L);
   }
 
-  /** Lets time pass. */
-  public void advance(Duration time) {
-    nanos.addAndGet(time.toNanos());
+  /** Advances both clocks. */
+  public void advance(Duration duration) {
+    nanos.addAndGet(duration.toNanos());
   }
 
-  /** Both clocks of a process. */
+  /** Returns this object as the clocks of a process. */
   public Clocks clocks() {
     return new Clocks(this, this);
   }
--- a/core/src/test/java/org/magnoliaswitch/core/testing/ScriptedServer.java
+++ b/core/src/test/java/org/magnoliaswitch/core/testing/ScriptedServer.java
@@ -11,20 +11,20 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.IntFunction;
 
-/** A server that answers each request with the bytes a test gives, whatever they are. */
+/** A server that responds to each request as a test prescribes, including malformed responses. */
 public final class ScriptedServer implements AutoCloseable {
-  /** What to do with one request. */
+  /** The response to a request. */
   public sealed interface Action {
-    /** Sends bytes and keeps the connection. */
+    /** Sends bytes and keeps the connection open. */
     record Send(String bytes) implements Action {}
 
-    /** Sends bytes and closes. */
+    /** Sends bytes and closes the connection. */
     record SendAndClose(String bytes) implements Action {}
 
-    /** The whole server ends: its connections close and nobody listens any more. */
+    /** Crashes the server: closes all its connections and the listening socket. */
     record Crash() implements Action {}
 
-    /** Never answers. */
+    /** Never responds. */
     record Hang() implements Action {}
   }
 
@@ -34,24 +34,27 @@
   private final AtomicInteger connections = new AtomicInteger();
   private final Set<Socket> open = ConcurrentHashMap.newKeySet();
 
-  /** Starts on a free port; the function gets the number of the request, from 0. */
+  /**
+   * Starts the server on a free port; the function maps the index of a request, from 0, to its
+   * action.
+   */
   public ScriptedServer(IntFunction<Action> actions) throws IOException {
     this.actions = actions;
     this.listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     Thread.ofVirtual().start(this::accept);
   }
 
-  /** The port listened on. */
+  /** Returns the port of the listening socket. */
   public int port() {
     return listener.getLocalPort();
   }
 
-  /** Requests received whole. */
+  /** Returns the number of requests received completely. */
   public int requests() {
     return requests.get();
   }
 
-  /** Connections accepted. */
+  /** Returns the number of accepted connections. */
   public int connections() {
     return connections.get();
   }
@@ -99,7 +102,7 @@
         }
       }
     } catch (IOException e) {
-      // The client went away, as some tests mean it to.
+      // Some tests close the client's end on purpose.
       return;
     }
   }
@@ -109,7 +112,7 @@
     socket.getOutputStream().flush();
   }
 
-  /** Reads a head and the body its Content-Length announces. */
+  /** Reads a request head and a body of the length that Content-Length announces. */
   private static boolean readRequest(InputStream in) throws IOException {
     StringBuilder head = new StringBuilder();
     while (head.indexOf("\r\n\r\n") < 0) {
