--- a/front/src/test/java/org/magnoliaswitch/front/request/PausedServerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/PausedServerTest.java
@@ -94,8 +94,15 @@
           .set(
               new RouteTable(
                   2, List.of(NON_IDEMPOTENT_ROUTE), List.of(policy), CallerLimits.DEFAULT));
-      CompletableFuture<CallerResponse> response = Requests.send(environment);
-      environment.loop().execute(() -> pause(environment));
+      CompletableFuture<CallerResponse> response = new CompletableFuture<>();
+      // Both are queued by one task, so that the connection is not yet open when the pause begins.
+      environment
+          .loop()
+          .execute(
+              () -> {
+                Requests.send(environment).thenAccept(response::complete);
+                environment.loop().execute(() -> pause(environment));
+              });
       assertEquals(response.join().status().code(), 503);
       assertEquals(healthChecks.get(), 0);
       environment.loop().stop();
