--- a/front/src/test/java/org/magnoliaswitch/front/load/PlacementTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/load/PlacementTest.java
@@ -43,7 +43,7 @@
     private final PlacementTest outer = new PlacementTest();
 
     @Test
-    public void aCurrentlySlowServerIsAvoided() {
+    public void aServerThatIsSlowAtTheMomentIsAvoided() {
       ServerState slow = Servers.reporting("slow", 0, 4, NOW);
       ServerState busy = Servers.reporting("busy", 3, 1, NOW);
       assertEquals(outer.best(List.of(slow, busy), NOW), "busy");
@@ -100,7 +100,7 @@
     }
 
     @Test
-    public void aServerIsChosenEvenIfAllFail() {
+    public void oneServerIsChosenEvenIfAllFail() {
       List<ServerState> servers = new ArrayList<>();
       for (int i = 0; i < 4; i++) {
         ServerState server = Servers.reporting("s" + i, 0, 1, NOW);
@@ -190,7 +190,7 @@
     }
 
     @Test
-    public void theRemoteServerIsPreferredIfTheLocalOneIsSlow() {
+    public void aRemoteServerIsPreferredIfTheLocalOneIsSlow() {
       ServerState local = Servers.reporting("near", 1, 4, NOW);
       assertEquals(outer.best(List.of(remote(1, 1), local), NOW), "remote");
     }
