--- a/core/src/main/java/org/magnoliaswitch/core/peer/PeerHandler.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/PeerHandler.java
@@ -1,8 +1,8 @@
 package org.magnoliaswitch.core.peer;
 
-/** Answers requests of peers. */
+/** Handles requests of peers. */
 @FunctionalInterface
 public interface PeerHandler {
   /** Returns the reply to a request. */
-  PeerMessage answer(PeerMessage request);
+  PeerMessage handle(PeerMessage request);
 }
--- a/core/src/test/java/org/magnoliaswitch/core/process/MembershipTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/MembershipTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The view of other instances. */
+/** Tests an instance's view of the other instances. */
 public final class MembershipTest {
   private ManualClock time = new ManualClock();
   private Membership membership = new Membership(member("self", 1), time.clocks());
@@ -24,33 +24,35 @@
   }
 
   @Test
-  public void noticesAMemberOnce() {
+  public void reportsAJoinOnce() {
     assertEquals(membership.merge(member("a", 1)), Membership.Change.JOINED);
     assertEquals(membership.merge(member("a", 2)), Membership.Change.NONE);
   }
 
   /**
-   * An instance says that it leaves, and an older heartbeat of it arrives by way of a slow peer. If
-   * the older news won, others would send to an instance that is gone; leaving is therefore final.
+   * An instance announces that it is leaving, and an older heartbeat of it arrives through a slow
+   * peer. If the older update won, other instances would contact an instance that is gone; leaving
+   * is therefore final.
    */
   @Test
-  public void olderNewsCannotUndoLeaving() {
+  public void anOutdatedUpdateCannotUndoLeaving() {
     membership.merge(member("a", 1));
     assertEquals(
-        membership.merge(member("a", 1).beat(2, MemberState.LEAVING)), Membership.Change.LEFT);
+        membership.merge(member("a", 1).withHeartbeat(2, MemberState.LEAVING)),
+        Membership.Change.LEFT);
     membership.merge(member("a", 3));
     assertTrue(membership.livePeers().isEmpty());
   }
 
   @Test
   public void aRestartUnderTheSameAddressIsAnotherMember() {
-    membership.merge(member("first", 1).beat(2, MemberState.LEAVING));
+    membership.merge(member("first", 1).withHeartbeat(2, MemberState.LEAVING));
     assertEquals(membership.merge(member("second", 1)), Membership.Change.JOINED);
     assertEquals(membership.livePeers().size(), 1);
   }
 
   @Test
-  public void aSilentMemberStopsCounting() {
+  public void aMemberWithoutUpdatesTimesOut() {
     membership.merge(member("a", 1));
     time.advance(Duration.ofSeconds(60));
     assertFalse(membership.live("a").isPresent());
@@ -58,7 +60,7 @@
   }
 
   @Test
-  public void repeatedOldNewsDoesNotKeepAMemberAlive() {
+  public void repeatedOutdatedUpdatesDoNotKeepAMemberAlive() {
     membership.merge(member("a", 5));
     for (int i = 0; i < 60; i++) {
       time.advance(Duration.ofSeconds(1));
--- a/core/src/test/java/org/magnoliaswitch/core/process/ServiceAdmissionTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/ServiceAdmissionTest.java
@@ -11,7 +11,7 @@
 import org.magnoliaswitch.core.version.AdmissionPolicy;
 import org.testng.annotations.Test;
 
-/** Room for requests at once. */
+/** Tests the bound on concurrent requests. */
 public final class ServiceAdmissionTest {
   private final ManualClock time = new ManualClock();
 
@@ -27,7 +27,7 @@
   public void shrinksWhenServersReportTooMuchLoad() {
     ServiceAdmission admission = admission(10, 0);
     for (int i = 0; i < 100; i++) {
-      admission.reported(new LoadReport(18, 6, false));
+      admission.recordReport(new LoadReport(18, 6, false));
     }
     assertTrue(admission.window() < 2, "window " + admission.window());
   }
@@ -36,32 +36,32 @@
   public void growsOnlyWhileItIsUsed() {
     ServiceAdmission admission = admission(10, 0);
     for (int i = 0; i < 50; i++) {
-      admission.reported(new LoadReport(0, 6, false));
+      admission.recordReport(new LoadReport(0, 6, false));
     }
     assertEquals(admission.window(), 10.0);
   }
 
   @Test
-  public void refusesAtOnceWhatCouldOnlyComeTooLate() {
+  public void rejectsAtOnceWhatWouldBeTooLate() {
     ServiceAdmission admission = admission(1, 10);
     admit(admission);
     assertEquals(
         admission.admit(Declarations.READ, time.read()), ServiceAdmission.Verdict.TOO_LATE);
   }
 
-  /** Near saturation a hedge would take the room that first attempts wait for. */
+  /** Near saturation a hedge would take the capacity that first attempts wait for. */
   @Test
-  public void givesNoSpareRoomNearTheWindow() {
+  public void grantsNoSpareCapacityNearTheWindow() {
     ServiceAdmission admission = admission(4, 10);
-    assertTrue(admission.takeSpareRoom());
+    assertTrue(admission.tryAcquireSpare());
     admit(admission);
-    assertTrue(admission.takeSpareRoom());
-    assertEquals(admission.takeSpareRoom(), false);
+    assertTrue(admission.tryAcquireSpare());
+    assertEquals(admission.tryAcquireSpare(), false);
   }
 
-  /** A waiter is woken by the release of another request, not by a poll. */
+  /** A waiting request is woken by the release of another request, not by polling. */
   @Test
-  public void freedRoomGoesToAWaiter() {
+  public void freedCapacityGoesToAWaitingRequest() {
     ServiceAdmission admission = admission(1, 10);
     admit(admission);
     CompletableFuture<ServiceAdmission.Verdict> waiter =
--- a/core/src/test/java/org/magnoliaswitch/core/testing/FakePlatform.java
+++ b/core/src/test/java/org/magnoliaswitch/core/testing/FakePlatform.java
@@ -16,17 +16,19 @@
 import org.magnoliaswitch.core.platform.Row;
 import org.magnoliaswitch.core.platform.TransactionResult;
 
-/** Table and object store in memory, with the faults that a test asks for next. */
+/**
+ * A table service and an object store in memory. Faults are injected into the next transactions.
+ */
 public final class FakePlatform implements PlatformTable, ObjectStore {
-  /** What happens to the next transaction. */
+  /** The fault of a transaction. */
   public enum Fault {
     NONE,
-    /** Nothing takes effect and no answer comes. */
+    /** The writes are not applied and the result is unknown. */
     DROPPED,
-    /** It takes effect and no answer comes. */
+    /** The writes are applied, but the result is unknown. */
     ANSWER_LOST,
-    /** No answer comes; it takes effect when {@link #landLateWrites} is called. */
-    LANDS_LATE
+    /** The result is unknown; the writes are applied by {@link #applyDelayedWrites}. */
+    DELAYED
   }
 
   private static final List<Fault> FAULTS = List.of(Fault.values());
@@ -34,45 +36,45 @@
   private final TreeMap<String, Row> rows = new TreeMap<>();
   private final Map<String, byte[]> objects = new HashMap<>();
   private final Deque<Fault> faults = new ArrayDeque<>();
-  private final List<List<ConditionalWrite>> late = new ArrayList<>();
-  private boolean down;
+  private final List<List<ConditionalWrite>> delayed = new ArrayList<>();
+  private boolean unavailable;
   private int transactions;
 
-  /** Queues faults for the next transactions. */
-  public synchronized void next(Fault... queued) {
+  /** Queues faults for the next transactions, in this order. */
+  public synchronized void queueFaults(Fault... queued) {
     faults.addAll(List.of(queued));
   }
 
   /** Queues a random fault for the next transaction. */
-  public synchronized void nextRandom(SplittableRandom random) {
+  public synchronized void queueRandomFault(SplittableRandom random) {
     faults.add(FAULTS.get(random.nextInt(FAULTS.size())));
   }
 
-  /** Takes everything down or up. */
-  public synchronized void down(boolean state) {
-    down = state;
+  /** Makes every call fail, or succeed again. */
+  public synchronized void setUnavailable(boolean value) {
+    unavailable = value;
   }
 
-  /** Lets writes that were under way take effect. */
-  public synchronized void landLateWrites() {
-    late.forEach(this::apply);
-    late.clear();
+  /** Applies the delayed writes, as far as their conditions still hold. */
+  public synchronized void applyDelayedWrites() {
+    delayed.forEach(this::apply);
+    delayed.clear();
   }
 
-  /** Transactions that took effect or conflicted. */
+  /** Returns the number of transactions that were applied or that conflicted. */
   public synchronized int transactions() {
     return transactions;
   }
 
   @Override
   public synchronized List<Row> read(List<String> keys) throws PlatformException {
-    up();
+    requireAvailable();
     return keys.stream().map(this::row).toList();
   }
 
   @Override
   public synchronized List<Row> scan(String prefix, int limit) throws PlatformException {
-    up();
+    requireAvailable();
     return rows.subMap(prefix, true, prefix + "\uffff", true).descendingMap().values().stream()
         .limit(limit)
         .toList();
@@ -81,12 +83,12 @@
   @Override
   public synchronized TransactionResult transact(List<ConditionalWrite> writes) {
     Fault fault = faults.isEmpty() ? Fault.NONE : faults.poll();
-    if (down || fault == Fault.DROPPED) {
+    if (unavailable || fault == Fault.DROPPED) {
       return new TransactionResult.Unknown("down");
     }
-    if (fault == Fault.LANDS_LATE) {
-      late.add(writes);
-      return new TransactionResult.Unknown("late");
+    if (fault == Fault.DELAYED) {
+      delayed.add(writes);
+      return new TransactionResult.Unknown("delayed");
     }
     TransactionResult result = apply(writes);
     return fault == Fault.ANSWER_LOST ? new TransactionResult.Unknown("lost") : result;
@@ -94,13 +96,13 @@
 
   @Override
   public synchronized Optional<byte[]> get(String name) throws PlatformException {
-    up();
+    requireAvailable();
     return Optional.ofNullable(objects.get(name));
   }
 
   @Override
   public synchronized void put(String name, byte[] content) throws PlatformException {
-    up();
+    requireAvailable();
     objects.put(name, content);
   }
 
@@ -122,8 +124,8 @@
     return rows.getOrDefault(key, new Row(key, 0, ""));
   }
 
-  private void up() throws PlatformException {
-    if (down) {
+  private void requireAvailable() throws PlatformException {
+    if (unavailable) {
       throw new PlatformException("down");
     }
   }
