--- a/core/src/test/java/org/magnoliaswitch/core/crash/CrashReplayTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/crash/CrashReplayTest.java
@@ -27,10 +27,10 @@
   public Object[][] sizes() {
     return new Object[][] {
       {"one instance", 1, 19, 120, 1},
-      {"eighteen", 18, 19, 120, 1},
-      {"eighteen, three copies at a time", 18, 19, 120, 3},
-      {"152, slow work", 152, 123, 640, 1},
-      {"152, slow work, ten copies at a time", 152, 123, 640, 10}
+      {"18 instances", 18, 19, 120, 1},
+      {"18 instances, three concurrent copies", 18, 19, 120, 3},
+      {"152 instances, slow requests", 152, 123, 640, 1},
+      {"152 instances, slow requests, ten concurrent copies", 152, 123, 640, 10}
     };
   }
 
@@ -62,9 +62,9 @@
   @DataProvider
   public Object[][] losses() {
     return new Object[][] {
-      {"a data centre at once", 18, 19, 120, new long[] {5_000}, 0.34, false, SEEDS},
+      {"one of three data centres at once", 18, 19, 120, new long[] {5_000}, 0.34, false, SEEDS},
       {
-        "half of all, three times",
+        "half of the servers, three times",
         18,
         19,
         120,
@@ -73,10 +73,28 @@
         false,
         SEEDS
       },
-      {"one in six, every second", 18, 19, 120, everySecond(), 0.16, false, SEEDS},
-      {"one in six, every second, slow work", 152, 123, 640, everySecond(), 0.16, false, 1},
-      {"a data centre at once, one path", 18, 19, 120, new long[] {5_000}, 0.34, true, SEEDS},
-      {"one in six, every second, one path", 18, 19, 120, everySecond(), 0.16, true, SEEDS}
+      {"one server in six, every second", 18, 19, 120, everySecond(), 0.16, false, SEEDS},
+      {
+        "one server in six, every second, slow requests",
+        152,
+        123,
+        640,
+        everySecond(),
+        0.16,
+        false,
+        1
+      },
+      {
+        "one of three data centres at once, one path",
+        18,
+        19,
+        120,
+        new long[] {5_000},
+        0.34,
+        true,
+        SEEDS
+      },
+      {"one server in six, every second, one path", 18, 19, 120, everySecond(), 0.16, true, SEEDS}
     };
   }
 
--- a/core/src/test/java/org/magnoliaswitch/core/crash/CrashTableTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/crash/CrashTableTest.java
@@ -267,7 +267,7 @@
     /**
      * All crashes came with one caller, whose request may differ from those of others in parts that
      * the identity does not include. Other callers with the same content are served; when a server
-     * crashes with one of them too, nobody is.
+     * crashes with one of them too, the content is refused for all callers.
      */
     @Test
     public void oneCallerDoesNotCauseOthersToBeRefused() {
