--- a/core/src/main/java/org/magnoliaswitch/core/process/Gossip.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Gossip.java
@@ -17,7 +17,7 @@
 import org.magnoliaswitch.core.version.Snapshot;
 
 /**
- * Spreads membership, versions and leaving servers by push-pull exchanges with random peers.
+ * Spreads membership, versions and leaving notices by push-pull exchanges with random peers.
  *
  * <p>At each interval an exchange with one random peer repairs what was missed. Updates are pushed
  * at once to a few peers, each of which pushes them on if they were new to it, so they spread in
@@ -161,10 +161,14 @@
     for (Member member : received.members()) {
       changed |= mergeMember(member);
     }
-    for (LeavingNotice mark : received.leaving()) {
-      if (leaving.merge(mark)) {
+    for (LeavingNotice notice : received.leaving()) {
+      if (leaving.merge(notice)) {
         timeline.record(
-            EventKind.SERVER_LEAVING, "", "", mark.server(), "sign=peer leaving=" + mark.leaving());
+            EventKind.SERVER_LEAVING,
+            "",
+            "",
+            notice.server(),
+            "sign=peer leaving=" + notice.leaving());
         changed = true;
       }
     }
--- a/core/src/main/java/org/magnoliaswitch/core/process/LeavingServers.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/LeavingServers.java
@@ -10,62 +10,65 @@
 import org.magnoliaswitch.core.peer.LeavingNotice.Source;
 
 /**
- * Backend servers that are leaving according to any kind of sign.
+ * Backend servers that are leaving according to any source.
  *
- * <p>Each kind of sign has its own latest mark, so that a server whose own report says nothing
- * cannot override the platform's list. A mark ends when the same kind of sign revokes it, or when
- * no first-hand sign has renewed it within its lifetime; peers forward marks without renewing them,
- * so that they cannot keep a mark alive among themselves.
+ * <p>The latest notice of each source is kept, so that a server whose own report says nothing
+ * cannot override the platform's list. A notice ends when the same source revokes it, or when the
+ * source has not renewed it within its lifetime; peers forward notices without renewing them, so
+ * that they cannot keep a notice alive among themselves.
  */
 public final class LeavingServers {
-  /** Longer than the time between two first-hand signs of a server that continues to leave. */
-  private static final long MARK_LIFETIME_MILLIS = 30_000;
+  /**
+   * Longer than the time between two notices from a source about a server that continues to leave.
+   */
+  private static final long NOTICE_LIFETIME_MILLIS = 30_000;
 
-  /** Minimum time between two renewals of a mark by first-hand signs, which keeps updates rare. */
+  /** Minimum time between two renewals of a notice by its source, which keeps updates rare. */
   private static final long RENEWAL_MILLIS = 5_000;
 
-  private static final int MAX_MARKS_PER_MESSAGE = 12;
+  private static final int MAX_NOTICES_PER_MESSAGE = 12;
 
-  private record Key(String server, Source sign) {}
+  private record Key(String server, Source source) {}
 
   private final Clocks clocks;
-  private final Map<Key, LeavingNotice> marks = new ConcurrentHashMap<>();
+  private final Map<Key, LeavingNotice> notices = new ConcurrentHashMap<>();
 
   public LeavingServers(Clocks clocks) {
     this.clocks = clocks;
   }
 
   /**
-   * Records a first-hand sign that a server is leaving; returns whether peers should be informed.
+   * Records a notice, received directly from a source, that a server is leaving; returns whether
+   * peers should be informed.
    */
-  public boolean markLeaving(String server, Source sign) {
-    return recordFirstHand(new LeavingNotice(server, sign, clocks.millis(), true));
+  public boolean markLeaving(String server, Source source) {
+    return recordDirect(new LeavingNotice(server, source, clocks.millis(), true));
   }
 
   /**
-   * Records a first-hand sign that a server is not leaving, or no longer; returns whether peers
-   * should be informed.
+   * Records a notice, received directly from a source, that a server is not leaving or no longer;
+   * returns whether peers should be informed.
    */
-  public boolean markReturned(String server, Source sign) {
-    LeavingNotice known = marks.get(new Key(server, sign));
+  public boolean markReturned(String server, Source source) {
+    LeavingNotice known = notices.get(new Key(server, source));
     return known != null
         && known.leaving()
-        && recordFirstHand(new LeavingNotice(server, sign, clocks.millis(), false));
+        && recordDirect(new LeavingNotice(server, source, clocks.millis(), false));
   }
 
   /**
-   * Merges a mark from a peer; returns whether it changes whether the server is leaving by its kind
-   * of sign.
+   * Merges a notice from a peer; returns whether it changes whether the server is leaving according
+   * to the source.
    */
-  public boolean merge(LeavingNotice mark) {
-    if (expired(mark)) {
+  public boolean merge(LeavingNotice notice) {
+    if (expired(notice)) {
       return false;
     }
     LeavingNotice[] before = new LeavingNotice[1];
     LeavingNotice after =
-        marks.merge(
-            new Key(mark.server(), mark.source()),
-            mark,
+        notices.merge(
+            new Key(notice.server(), notice.source()),
+            notice,
             (old, fresh) -> {
               before[0] = old;
               return fresh.atMillis() > old.atMillis() ? fresh : old;
@@ -76,44 +79,44 @@
 
   /** Returns whether the server is leaving and must get no new requests. */
   public boolean leaving(String server) {
-    if (marks.isEmpty()) {
+    if (notices.isEmpty()) {
       return false;
     }
-    for (Source sign : Source.values()) {
-      LeavingNotice mark = marks.get(new Key(server, sign));
-      if (mark != null && mark.leaving() && !expired(mark)) {
+    for (Source source : Source.values()) {
+      LeavingNotice notice = notices.get(new Key(server, source));
+      if (notice != null && notice.leaving() && !expired(notice)) {
         return true;
       }
     }
     return false;
   }
 
-  /** Returns the servers that are leaving by one kind of sign. */
-  public List<String> leavingBy(Source sign) {
-    return marks.values().stream()
-        .filter(mark -> mark.source() == sign && mark.leaving() && !expired(mark))
+  /** Returns the servers that are leaving according to one source. */
+  public List<String> leavingBy(Source source) {
+    return notices.values().stream()
+        .filter(notice -> notice.source() == source && notice.leaving() && !expired(notice))
         .map(LeavingNotice::server)
         .toList();
   }
 
-  /** Returns the most recent marks, as many as fit into a message. */
+  /** Returns the most recent notices, as many as fit into a message. */
   public List<LeavingNotice> recent() {
-    marks.values().removeIf(this::expired);
-    List<LeavingNotice> recent = new ArrayList<>(marks.values());
+    notices.values().removeIf(this::expired);
+    List<LeavingNotice> recent = new ArrayList<>(notices.values());
     recent.sort(Comparator.comparingLong(LeavingNotice::atMillis).reversed());
-    return recent.subList(0, Math.min(MAX_MARKS_PER_MESSAGE, recent.size()));
+    return recent.subList(0, Math.min(MAX_NOTICES_PER_MESSAGE, recent.size()));
   }
 
-  private boolean recordFirstHand(LeavingNotice mark) {
-    LeavingNotice known = marks.get(new Key(mark.server(), mark.source()));
+  private boolean recordDirect(LeavingNotice notice) {
+    LeavingNotice known = notices.get(new Key(notice.server(), notice.source()));
     boolean renewed =
         known != null
-            && known.leaving() == mark.leaving()
-            && mark.atMillis() - known.atMillis() < RENEWAL_MILLIS;
-    return !renewed && merge(mark);
+            && known.leaving() == notice.leaving()
+            && notice.atMillis() - known.atMillis() < RENEWAL_MILLIS;
+    return !renewed && merge(notice);
   }
 
-  private boolean expired(LeavingNotice mark) {
-    return clocks.millis() - mark.atMillis() >= MARK_LIFETIME_MILLIS;
+  private boolean expired(LeavingNotice notice) {
+    return clocks.millis() - notice.atMillis() >= NOTICE_LIFETIME_MILLIS;
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/Prober.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Prober.java
@@ -16,13 +16,13 @@
 import org.magnoliaswitch.core.version.ServerState;
 
 /**
- * Requests load reports from servers without recent contact, within the measuring budget.
+ * Requests load reports from servers without recent contact, within the probe budget.
  *
  * <p>Every response carries a report, so probes are for servers without requests, ejected servers
- * and servers said to be leaving. Each instance sends a server at most one probe per window, whose
- * length follows from the declared maximum number of instances; the budget of all instances
+ * and servers said to be leaving. Each instance sends a server at most one probe per interval,
+ * whose length follows from the declared maximum number of instances; the budget of all instances
  * together therefore holds without any knowledge of the others. If more instances are seen than
- * declared, the window grows with their number.
+ * declared, the interval grows with their number.
  */
 public final class Prober {
   /** Path of the load endpoint of backend servers. */
@@ -57,10 +57,10 @@
     Collection<ServiceState> services = registry.state().services().values();
     for (ServiceState service : services) {
       ProbeBudget budget = service.profile().measuring();
-      long window = windowNanos(budget, instances);
+      long minInterval = minIntervalNanos(budget, instances);
       for (ServerHandle handle : service.servers()) {
         long now = clocks.nanos();
-        if (needsProbe(handle, now, window) && handle.load().tryClaimProbe(now, window)) {
+        if (needsProbe(handle, now, minInterval) && handle.load().tryClaimProbe(now, minInterval)) {
           Thread.ofVirtual().name("probe").start(() -> probe(service, handle));
         }
       }
@@ -73,7 +73,7 @@
   }
 
   /** Returns the minimum time between two probes of a server by this instance. */
-  static long windowNanos(ProbeBudget budget, int instances) {
+  static long minIntervalNanos(ProbeBudget budget, int instances) {
     double factor = Math.max(1.0, (double) instances / budget.maxInstances());
     return (long) (TimeUnit.MILLISECONDS.toNanos(budget.minIntervalMillis()) * factor);
   }
@@ -82,10 +82,10 @@
    * Returns whether a server needs a probe. A server that is full or has requested a pause gets
    * none, since a probe would use its capacity.
    */
-  private static boolean needsProbe(ServerHandle handle, long now, long window) {
+  private static boolean needsProbe(ServerHandle handle, long now, long minInterval) {
     ServerLoad load = handle.load();
     boolean noRecentContact =
-        now - load.lastContactNanos() > Math.min(RECENT_CONTACT_NANOS, window);
+        now - load.lastContactNanos() > Math.min(RECENT_CONTACT_NANOS, minInterval);
     LoadReport last = load.lastReport().report();
     boolean full = load.inFlight() > 0 && last.requests() >= last.slots();
     return handle.server().state() == ServerState.ACTIVE
--- a/core/src/main/java/org/magnoliaswitch/core/process/ServerLoad.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ServerLoad.java
@@ -97,10 +97,12 @@
     lastContactNanos.set(nowNanos);
   }
 
-  /** Reserves a probe if none was sent within the window; returns whether it may be sent. */
-  public boolean tryClaimProbe(long nowNanos, long windowNanos) {
+  /**
+   * Reserves a probe if none was sent within the given interval; returns whether it may be sent.
+   */
+  public boolean tryClaimProbe(long nowNanos, long minIntervalNanos) {
     long before = lastProbeNanos.get();
-    boolean due = before == Long.MIN_VALUE || nowNanos - before >= windowNanos;
+    boolean due = before == Long.MIN_VALUE || nowNanos - before >= minIntervalNanos;
     return due && lastProbeNanos.compareAndSet(before, nowNanos);
   }
 
--- a/core/src/test/java/org/magnoliaswitch/core/process/ClaimBatcherTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/ClaimBatcherTest.java
@@ -20,7 +20,7 @@
   private ClaimBatcher batcher = new ClaimBatcher(platform);
 
   @BeforeMethod
-  public void fresh() {
+  public void setUp() {
     platform = new FakePlatform();
     batcher = new ClaimBatcher(platform);
   }
--- a/core/src/test/java/org/magnoliaswitch/core/process/ConfigurationStoreTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/ConfigurationStoreTest.java
@@ -23,7 +23,7 @@
   private ConfigurationStore store = new ConfigurationStore(platform, platform);
 
   @BeforeMethod
-  public void fresh() {
+  public void setUp() {
     platform = new FakePlatform();
     store = new ConfigurationStore(platform, platform);
   }
@@ -80,7 +80,7 @@
   @Test
   public void acceptsEachChangeOnceUnderRandomFaults() throws Exception {
     for (int seed = 0; seed < 300; seed++) {
-      fresh();
+      setUp();
       SplittableRandom random = new SplittableRandom(seed);
       Map<String, Long> acceptedVersions = new HashMap<>();
       for (int step = 0; step < 60; step++) {
--- a/core/src/test/java/org/magnoliaswitch/core/process/CurrentVersionTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/CurrentVersionTest.java
@@ -26,7 +26,7 @@
   private CurrentVersion current = version(cache);
 
   @BeforeMethod
-  public void fresh() {
+  public void setUp() {
     cache = new ContentCache();
     current = version(cache);
   }
@@ -39,7 +39,7 @@
   @Test
   public void neverRevertsWhateverTheOrderOfArrival() throws IOException {
     for (int seed = 0; seed < 200; seed++) {
-      fresh();
+      setUp();
       List<Long> order = new ArrayList<>(List.of(1L, 2L, 3L, 4L, 5L, 6L));
       Collections.shuffle(order, new Random(seed));
       List<Long> versions = new ArrayList<>();
--- a/core/src/test/java/org/magnoliaswitch/core/process/LeavingServersTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/LeavingServersTest.java
@@ -11,40 +11,40 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests the signs that a backend server is leaving. */
+/** Tests the notices that a backend server is leaving. */
 public final class LeavingServersTest {
   private ManualClock time = new ManualClock();
   private LeavingServers leaving = new LeavingServers(time.clocks());
 
   @BeforeMethod
-  public void fresh() {
+  public void setUp() {
     time = new ManualClock();
     leaving = new LeavingServers(time.clocks());
   }
 
   @Test
-  public void onlyTheFirstSignIsPublished() {
+  public void onlyTheFirstNoticeIsPublished() {
     assertTrue(leaving.markLeaving("a", Source.REPORT));
     assertFalse(leaving.markLeaving("a", Source.REPORT));
   }
 
   /**
-   * Two instances keep sending each other the mark of a leaving server. If each of them renewed it,
-   * a server that returned would never get requests again; so only the time of the first-hand sign
-   * counts.
+   * Two instances keep sending each other the notice about a leaving server. If each of them
+   * renewed it, a server that returned would never get requests again; so only the time counts at
+   * which the notice came from its source.
    */
   @Test
-  public void peersCannotKeepAMarkAlive() {
-    LeavingNotice mark = new LeavingNotice("b", Source.REPORT, time.millis(), true);
+  public void peersCannotKeepANoticeAlive() {
+    LeavingNotice notice = new LeavingNotice("b", Source.REPORT, time.millis(), true);
     for (int i = 0; i < 40; i++) {
-      leaving.merge(mark);
+      leaving.merge(notice);
       time.advance(Duration.ofSeconds(1));
     }
     assertFalse(leaving.leaving("b"));
   }
 
   /**
-   * A server is replaced within a few seconds and returns. If marks only expired, five of eight
+   * A server is replaced within a few seconds and returns. If notices only expired, five of eight
    * servers would get no requests during a rolling replacement, and callers would be rejected.
    */
   @Test
@@ -63,16 +63,16 @@
     assertTrue(leaving.leaving("d"));
   }
 
-  /** An old mark that the server is leaving arrives after the mark of its return. */
+  /** An old notice that the server is leaving arrives after the notice of its return. */
   @Test
-  public void theLatestMarkWinsInAnyOrder() {
+  public void theLatestNoticeWinsInAnyOrder() {
     leaving.merge(new LeavingNotice("e", Source.REPORT, time.millis() + 5, false));
     leaving.merge(new LeavingNotice("e", Source.REPORT, time.millis(), true));
     assertFalse(leaving.leaving("e"));
   }
 
   @Test
-  public void limitsTheMarksPerMessage() {
+  public void limitsTheNoticesPerMessage() {
     for (int i = 0; i < 100; i++) {
       leaving.markLeaving("server-" + i, Source.LIST);
     }
--- a/core/src/test/java/org/magnoliaswitch/core/process/MembershipTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/MembershipTest.java
@@ -18,7 +18,7 @@
   private Membership membership = new Membership(member("self", 1), time.clocks());
 
   @BeforeMethod
-  public void fresh() {
+  public void setUp() {
     time = new ManualClock();
     membership = new Membership(member("self", 1), time.clocks());
   }
--- a/core/src/test/java/org/magnoliaswitch/core/process/OutcomeLedgerTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/OutcomeLedgerTest.java
@@ -18,7 +18,7 @@
   private OutcomeLedger ledger = new OutcomeLedger(time.clocks());
 
   @BeforeMethod
-  public void fresh() {
+  public void setUp() {
     time = new ManualClock();
     ledger = new OutcomeLedger(time.clocks());
   }
--- a/core/src/test/java/org/magnoliaswitch/core/process/ProberTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/ProberTest.java
@@ -40,7 +40,7 @@
     for (int step = 0; step < 4_000; step++) {
       time.advance(Duration.ofMillis(random.nextInt(20)));
       ServerLoad load = loads.get(random.nextInt(alive));
-      if (load.tryClaimProbe(time.read(), Prober.windowNanos(budget, known))) {
+      if (load.tryClaimProbe(time.read(), Prober.minIntervalNanos(budget, known))) {
         probes.add(time.read());
       }
     }
@@ -53,8 +53,8 @@
   }
 
   @Test
-  public void moreInstancesThanDeclaredLengthenTheWindow() {
+  public void moreInstancesThanDeclaredLengthenTheInterval() {
     ProbeBudget budget = new ProbeBudget(5, 40);
-    assertEquals(Prober.windowNanos(budget, 80), 2 * Prober.windowNanos(budget, 40));
+    assertEquals(Prober.minIntervalNanos(budget, 80), 2 * Prober.minIntervalNanos(budget, 40));
   }
 }
--- a/core/src/test/java/org/magnoliaswitch/core/process/RequestCrashesTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/RequestCrashesTest.java
@@ -21,7 +21,7 @@
 
   /** Two servers crashed while serving the request, so the next server to get it is at risk. */
   @BeforeMethod
-  public void start() {
+  public void setUp() {
     time = new ManualClock();
     watch = new CrashWatch(time.clocks());
     watch.receive(
