--- a/core/src/main/java/org/magnoliaswitch/core/peer/CrashReportCodec.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/CrashReportCodec.java
@@ -57,7 +57,7 @@
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       return read(in);
     } catch (MessagePackException | IllegalArgumentException e) {
-      throw new IOException("malformed crash reports", e);
+      throw new IOException("malformed reports", e);
     }
   }
 
@@ -75,13 +75,13 @@
   public static List<CrashReport> read(MessageUnpacker in) throws IOException {
     int count = in.unpackArrayHeader();
     if (count > MAX_REPORTS) {
-      throw new IOException(count + " crash reports in a message exceed the limit");
+      throw new IOException(count + " reports are too many");
     }
     List<CrashReport> reports = new ArrayList<>();
     for (int remaining = count; remaining > 0; remaining--) {
       int length = in.unpackBinaryHeader();
       if (length > MAX_REPORT_BYTES) {
-        throw new IOException("a crash report of " + length + " bytes exceeds the limit");
+        throw new IOException("a report of " + length + " bytes is too long");
       }
       byte[] framed = in.readPayload(length);
       try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(framed)) {
@@ -138,7 +138,7 @@
   private static Set<String> readNames(MessageUnpacker in) throws IOException {
     int count = in.unpackArrayHeader();
     if (count > MAX_SERVERS) {
-      throw new IOException(count + " servers in a crash report exceed the limit");
+      throw new IOException(count + " servers are too many");
     }
     Set<String> names = new HashSet<>();
     for (int remaining = count; remaining > 0; remaining--) {
@@ -150,7 +150,7 @@
   private static String readName(MessageUnpacker in) throws IOException {
     String name = in.unpackString();
     if (name.length() > MAX_NAME_LENGTH) {
-      throw new IOException("a name of " + name.length() + " characters exceeds the limit");
+      throw new IOException("a name of " + name.length() + " characters is too long");
     }
     return name;
   }
--- a/core/src/main/java/org/magnoliaswitch/core/peer/FrameCodec.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/FrameCodec.java
@@ -38,7 +38,7 @@
     try {
       PeerMessage message = MAPPER.readValue(frame, PeerMessage.class);
       if (message == null) {
-        throw new FrameException(FrameException.Reason.MALFORMED, "the frame contains no message");
+        throw new FrameException(FrameException.Reason.MALFORMED, "an empty message");
       }
       return message;
     } catch (FrameException e) {
@@ -59,8 +59,7 @@
   public static byte[] read(DataInputStream in) throws IOException {
     int length = in.readInt();
     if (length < 0 || length > MAX_FRAME_BYTES) {
-      throw new FrameException(
-          FrameException.Reason.OVERSIZE, "a frame of " + length + " bytes is outside the limits");
+      throw new FrameException(FrameException.Reason.OVERSIZE, "a frame of " + length + " bytes");
     }
     byte[] frame = in.readNBytes(length);
     if (frame.length < length) {
--- a/core/src/main/java/org/magnoliaswitch/core/peer/PeerConnection.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/PeerConnection.java
@@ -35,8 +35,7 @@
   void authenticatePeer(String challenge, PeerSecret secret) throws IOException {
     writeHandshake(challenge.getBytes(StandardCharsets.US_ASCII));
     if (!secret.matches(challenge, readHandshake())) {
-      throw new FrameException(
-          FrameException.Reason.UNAUTHENTICATED, "the signature of the challenge is wrong");
+      throw new FrameException(FrameException.Reason.UNAUTHENTICATED, "a wrong signature");
     }
   }
 
@@ -82,9 +81,7 @@
   private byte[] readHandshake() throws IOException {
     int length = in.readUnsignedByte();
     if (length > MAX_HANDSHAKE_BYTES) {
-      throw new FrameException(
-          FrameException.Reason.OVERSIZE,
-          "the length of the handshake exceeds the limit: " + length);
+      throw new FrameException(FrameException.Reason.OVERSIZE, "a handshake of " + length);
     }
     bytes.addAndGet(length + 1L);
     return in.readNBytes(length);
