--- a/core/src/main/java/org/magnoliaswitch/core/operator/ChangeService.java
+++ b/core/src/main/java/org/magnoliaswitch/core/operator/ChangeService.java
@@ -137,10 +137,7 @@
       byte[] text =
           loader
               .load(part.getValue())
-              .orElseThrow(
-                  () ->
-                      new IOException(
-                          part.getKey() + ": no content with digest " + part.getValue()));
+              .orElseThrow(() -> new IOException("no content of " + part.getKey()));
       parts.put(part.getKey(), new String(text, StandardCharsets.UTF_8));
     }
     return new VersionView(
--- a/core/src/main/java/org/magnoliaswitch/core/version/SnapshotParser.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/SnapshotParser.java
@@ -45,7 +45,7 @@
         readDocument(path, part.getValue(), Service.class, problems)
             .ifPresent(service -> addService(path, service, services, problems));
       } else {
-        problems.add(new Problem(path, "this file", "profiles/*.json or services/*.json"));
+        problems.add(new Problem(path, "this file", "expected profiles/*.json or services/*.json"));
       }
     }
     problems.addAll(SnapshotValidator.checkReferences(profiles, services));
@@ -69,19 +69,17 @@
           new Problem(
               file + ": " + jsonPath(e),
               "property \"" + e.getPropertyName() + '"',
-              "one of the properties " + e.getKnownPropertyIds()));
+              "expected one of the properties " + e.getKnownPropertyIds()));
     } catch (JsonMappingException e) {
-      problems.add(
-          new Problem(
-              file + ": " + jsonPath(e), "the value", "a valid value: " + e.getOriginalMessage()));
+      problems.add(new Problem(file + ": " + jsonPath(e), "the value", e.getOriginalMessage()));
     } catch (JsonProcessingException e) {
       problems.add(
           new Problem(
               file + ": line " + (e.getLocation() == null ? 0 : e.getLocation().getLineNr()),
               "the text",
-              "valid JSON: " + e.getOriginalMessage()));
+              "expected valid JSON: " + e.getOriginalMessage()));
     } catch (IOException e) {
-      problems.add(new Problem(file, "the file", "readable content: " + e.getMessage()));
+      problems.add(new Problem(file, "the file", "expected readable content: " + e.getMessage()));
     }
     return Optional.empty();
   }
@@ -105,7 +103,7 @@
       String path, Profile profile, Map<String, Profile> profiles, List<Problem> problems) {
     problems.addAll(SnapshotValidator.checkProfile(path, profile));
     if (profiles.put(profile.name(), profile) != null) {
-      problems.add(new Problem(path + ": name", profile.name(), "a unique name"));
+      problems.add(new Problem(path + ": name", profile.name(), "expected a unique name"));
     }
   }
 
@@ -113,7 +111,7 @@
       String path, Service service, Map<String, Service> services, List<Problem> problems) {
     problems.addAll(SnapshotValidator.checkService(path, service));
     if (services.put(service.name(), service) != null) {
-      problems.add(new Problem(path + ": name", service.name(), "a unique name"));
+      problems.add(new Problem(path + ": name", service.name(), "expected a unique name"));
     }
   }
 
--- a/core/src/main/java/org/magnoliaswitch/core/version/SnapshotValidator.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/SnapshotValidator.java
@@ -44,7 +44,7 @@
     for (int status : profile.refusalStatuses()) {
       validator.requireRange("refusalStatuses", status, 400, 599);
     }
-    validator.require(!profile.kinds().isEmpty(), "kinds", "[]", "at least one kind");
+    validator.require(!profile.kinds().isEmpty(), "kinds", "[]", "expected at least one kind");
     Set<String> names = new HashSet<>();
     for (int i = 0; i < profile.kinds().size(); i++) {
       checkKind(validator, "kinds[" + i + "]", profile.kinds().get(i), names);
@@ -55,7 +55,8 @@
   private static void checkKind(
       Validator validator, String path, RequestKind kind, Set<String> names) {
     validator.requireMatch(path + ".name", kind.name(), NAME);
-    validator.require(names.add(kind.name()), path + ".name", kind.name(), "a unique name");
+    validator.require(
+        names.add(kind.name()), path + ".name", kind.name(), "expected a unique name");
     validator.requireMatch(path + ".method", kind.method(), "[A-Z]{3,10}");
     validator.requireMatch(path + ".pathPrefix", kind.pathPrefix(), "/[A-Za-z0-9/_.-]*");
     validator.requireRange(path + ".harmWeight", kind.harmWeight(), 0.01, MAX_WEIGHT);
@@ -69,7 +70,8 @@
     validator.requireRange("maxDrainShare", service.maxDrainShare(), 0, 1);
     boolean active =
         service.servers().stream().anyMatch(server -> server.state() == ServerState.ACTIVE);
-    validator.require(active, "servers", "no active server", "at least one server in state ACTIVE");
+    validator.require(
+        active, "servers", "no active server", "expected at least one server in state ACTIVE");
     for (int i = 0; i < service.servers().size(); i++) {
       checkServer(validator, "servers[" + i + "]", service.servers().get(i));
     }
@@ -94,15 +96,17 @@
       String file = "services/" + service.name();
       if (!profiles.containsKey(service.profile())) {
         problems.add(
-            new Problem(file + ": profile", service.profile(), "one of " + profiles.keySet()));
+            new Problem(
+                file + ": profile", service.profile(), "expected one of " + profiles.keySet()));
       }
       if (!prefixes.add(service.pathPrefix())) {
         problems.add(
-            new Problem(file + ": pathPrefix", service.pathPrefix(), "a unique path prefix"));
+            new Problem(
+                file + ": pathPrefix", service.pathPrefix(), "expected a unique path prefix"));
       }
       for (BackendServer server : service.servers()) {
         if (!ids.add(server.id())) {
-          problems.add(new Problem(file + ": servers", server.id(), "a unique id"));
+          problems.add(new Problem(file + ": servers", server.id(), "expected a unique id"));
         }
       }
     }
--- a/core/src/main/java/org/magnoliaswitch/core/version/Validator.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/Validator.java
@@ -15,14 +15,14 @@
   /** Adds a problem if the number is NaN or lies outside the closed range. */
   public void requireRange(String path, double value, double min, double max) {
     if (!(value >= min && value <= max)) {
-      add(path, String.valueOf(value), "a number from " + min + " to " + max);
+      add(path, String.valueOf(value), "expected a number from " + min + " to " + max);
     }
   }
 
   /** Adds a problem if the whole string does not match the regular expression. */
   public void requireMatch(String path, String value, String pattern) {
     if (!value.matches(pattern)) {
-      add(path, '"' + value + '"', "a value that matches " + pattern);
+      add(path, '"' + value + '"', "expected a value that matches " + pattern);
     }
   }
 
--- a/core/src/test/java/org/magnoliaswitch/core/testing/FakePlatform.java
+++ b/core/src/test/java/org/magnoliaswitch/core/testing/FakePlatform.java
@@ -88,7 +88,7 @@
     }
     if (fault == Fault.DELAYED) {
       delayed.add(writes);
-      return new TransactionResult.Unknown("delayed");
+      return new TransactionResult.Unknown("late");
     }
     TransactionResult result = apply(writes);
     return fault == Fault.ANSWER_LOST ? new TransactionResult.Unknown("lost") : result;
--- a/entry/src/test/java/org/magnoliaswitch/entry/EntrySettingsTest.java
+++ b/entry/src/test/java/org/magnoliaswitch/entry/EntrySettingsTest.java
@@ -36,7 +36,12 @@
         "1.0 to 65535.0"
       },
       {"\"callerPort\": 7100", "\"callerPort\": \"x\"", "entry.json: callerPort", ""},
-      {"\"callerPort\": 7100", "\"callerPorts\": 7100", "callerPorts", "one of the properties"},
+      {
+        "\"callerPort\": 7100",
+        "\"callerPorts\": 7100",
+        "callerPorts",
+        "expected one of the properties"
+      },
       {
         "\"callerPort\": 7100", "\"callerPort\": 7101", "a port used twice", "three different ports"
       },
