--- a/standins/src/main/java/org/magnoliaswitch/standins/BackendBehaviour.java
+++ b/standins/src/main/java/org/magnoliaswitch/standins/BackendBehaviour.java
@@ -1,13 +1,13 @@
 package org.magnoliaswitch.standins;
 
 /**
- * How a backend stand-in serves.
+ * Parameters of a backend stand-in.
  *
- * @param slots requests executed at once
- * @param queue requests that may wait; more are refused with 503
- * @param serviceMillis mean service time
- * @param spread sigma of the log-normal service time
- * @param seed seed of its random numbers
+ * @param slots number of requests executed concurrently
+ * @param queue maximum number of queued requests; further requests are rejected with status 503
+ * @param serviceMillis mean service time in milliseconds
+ * @param spread sigma of the log-normal distribution of service times
+ * @param seed seed of the random numbers
  */
 public record BackendBehaviour(
     int slots, int queue, double serviceMillis, double spread, long seed) {}
--- a/standins/src/main/java/org/magnoliaswitch/standins/BackendFleet.java
+++ b/standins/src/main/java/org/magnoliaswitch/standins/BackendFleet.java
@@ -25,13 +25,13 @@
 import org.magnoliaswitch.core.version.BackendServer;
 import org.magnoliaswitch.core.version.Json;
 
-/** Many backend stand-ins in one process, each on its own port, and a port that steers them. */
+/** Backend stand-ins in a single process, each on its own port, and a port that controls them. */
 public final class BackendFleet implements AutoCloseable {
-  private static final int ACCEPT_QUEUE = 1_024;
+  private static final int ACCEPT_BACKLOG = 1_024;
   private static final int OK = 200;
   private static final int NOT_FOUND = 404;
 
-  /** Statistics for the experiments. */
+  /** Totals over all stand-ins and the counts of each, written as JSON for experiments. */
   record Statistics(
       long executions,
       long doubled,
@@ -41,7 +41,7 @@
 
   private final Server server;
   private final Clocks clocks;
-  private final Executions executions = new Executions();
+  private final ExecutionCounter executions = new ExecutionCounter();
   private final Map<String, BackendStandin> standins = new LinkedHashMap<>();
   private final Map<String, ServerConnector> connectors = new TreeMap<>();
 
@@ -50,22 +50,23 @@
     QueuedThreadPool threads = new QueuedThreadPool(64, 8);
     threads.setVirtualThreadsExecutor(Executors.newVirtualThreadPerTaskExecutor());
     this.server = new Server(threads);
-    server.setHandler(new ByPort());
+    server.setHandler(new PortDispatcher());
   }
 
-  /** Adds a backend server; call it before {@link #start}. */
-  public void add(BackendServer declared, BackendBehaviour behaviour) {
-    BackendStandin standin = new BackendStandin(declared.id(), behaviour, executions, clocks);
-    standins.put(declared.id(), standin);
-    connectors.put(declared.id(), listen(declared.id(), declared.host(), declared.port()));
+  /** Adds a backend server. Must be called before {@link #start}. */
+  public void add(BackendServer declaration, BackendBehaviour behaviour) {
+    BackendStandin standin = new BackendStandin(declaration.id(), behaviour, executions, clocks);
+    standins.put(declaration.id(), standin);
+    connectors.put(
+        declaration.id(), addConnector(declaration.id(), declaration.host(), declaration.port()));
   }
 
-  /** Adds the port that steers the stand-ins. */
+  /** Adds the port that controls the stand-ins. */
   public void addControlPort(String host, int port) {
-    connectors.put("", listen("", host, port));
+    connectors.put("", addConnector("", host, port));
   }
 
-  /** Starts to listen. */
+  /** Opens all ports. */
   public void start() throws Exception {
     server.start();
   }
@@ -75,7 +76,7 @@
     server.stop();
   }
 
-  private ServerConnector listen(String name, String host, int port) {
+  private ServerConnector addConnector(String name, String host, int port) {
     HttpConfiguration http = new HttpConfiguration();
     http.setSendServerVersion(false);
     http.setSendDateHeader(false);
@@ -84,15 +85,15 @@
     connector.setName(name);
     connector.setHost(host);
     connector.setPort(port);
-    connector.setAcceptQueueSize(ACCEPT_QUEUE);
+    connector.setAcceptQueueSize(ACCEPT_BACKLOG);
     connector.setIdleTimeout(60_000);
     server.addConnector(connector);
     return connector;
   }
 
-  /** Sends each request to the stand-in of the port it came in by. */
-  private final class ByPort extends Handler.Abstract {
-    private ByPort() {
+  /** Dispatches each request to the stand-in that belongs to the port of the connection. */
+  private final class PortDispatcher extends Handler.Abstract {
+    private PortDispatcher() {
       super(InvocationType.BLOCKING);
     }
 
@@ -103,17 +104,18 @@
       if (standin != null) {
         return standin.handle(request, response, callback);
       }
-      steer(request, response, callback);
+      handleControl(request, response, callback);
       return true;
     }
   }
 
-  private void steer(Request request, Response response, Callback callback) throws Exception {
+  private void handleControl(Request request, Response response, Callback callback)
+      throws Exception {
     String path = Request.getPathInContext(request);
     switch (path) {
       case "/ready" -> reply(response, callback, OK, "ready\n");
       case "/statistics" -> reply(response, callback, OK, json(statistics()));
-      case "/executions" -> reply(response, callback, OK, executionLines());
+      case "/executions" -> reply(response, callback, OK, formatExecutions());
       case "/probes" -> reply(response, callback, OK, json(probes()));
       case "/last-work" -> reply(response, callback, OK, json(lastWork()));
       case "/clear" -> {
@@ -133,33 +135,38 @@
     }
   }
 
-  /** Changes the named fields of the faults of one server, of several by comma, or of all. */
+  /**
+   * Changes the faults of servers.
+   *
+   * @param names names of servers, separated by commas; {@code all} or null selects every server
+   * @param body JSON object with the fields to change
+   */
   private String setFaults(String names, String body) throws Exception {
-    Collection<BackendStandin> chosen = new ArrayList<>();
+    Collection<BackendStandin> selected = new ArrayList<>();
     if (names == null || names.equals("all")) {
-      chosen = standins.values();
+      selected = standins.values();
     } else {
       for (String name : names.split(",", -1)) {
         BackendStandin standin = standins.get(name);
         if (standin == null) {
           return "no server " + name + "\n";
         }
-        chosen.add(standin);
+        selected.add(standin);
       }
     }
-    for (BackendStandin standin : chosen) {
+    for (BackendStandin standin : selected) {
       var merged =
           (com.fasterxml.jackson.databind.node.ObjectNode)
               Json.MAPPER.valueToTree(standin.faults());
       merged.setAll((com.fasterxml.jackson.databind.node.ObjectNode) Json.MAPPER.readTree(body));
       ServerFaults next = Json.MAPPER.treeToValue(merged, ServerFaults.class);
-      listen(standin, next);
-      standin.faults(next);
+      openOrClosePort(standin, next);
+      standin.setFaults(next);
     }
-    return "set " + chosen.size() + "\n";
+    return "set " + selected.size() + "\n";
   }
 
-  private void listen(BackendStandin standin, ServerFaults next) throws Exception {
+  private void openOrClosePort(BackendStandin standin, ServerFaults next) throws Exception {
     ServerConnector connector = connectors.get(standin.id());
     if (connector == null || next.stopped() == standin.faults().stopped()) {
       return;
@@ -173,7 +180,7 @@
 
   private Statistics statistics() {
     long doubled =
-        executions.byOperation().values().stream().filter(count -> count.get() > 1).count();
+        executions.countsByOperation().values().stream().filter(count -> count.get() > 1).count();
     double busy = standins.values().stream().mapToDouble(BackendStandin::busySeconds).sum();
     return new Statistics(
         executions.total(),
@@ -183,25 +190,25 @@
         standins.values().stream().map(BackendStandin::counts).toList());
   }
 
-  private String executionLines() {
+  private String formatExecutions() {
     StringBuilder lines = new StringBuilder();
     executions
-        .byOperation()
+        .countsByOperation()
         .forEach(
             (operation, count) -> lines.append(operation).append(' ').append(count).append('\n'));
     return lines.toString();
   }
 
   private Map<String, List<Long>> probes() {
-    Map<String, List<Long>> all = new TreeMap<>();
-    standins.forEach((id, standin) -> all.put(id, List.copyOf(standin.probeMillis())));
-    return all;
+    Map<String, List<Long>> timesById = new TreeMap<>();
+    standins.forEach((id, standin) -> timesById.put(id, List.copyOf(standin.probeMillis())));
+    return timesById;
   }
 
   private Map<String, Long> lastWork() {
-    Map<String, Long> all = new TreeMap<>();
-    standins.forEach((id, standin) -> all.put(id, standin.lastWorkMillis()));
-    return all;
+    Map<String, Long> timesById = new TreeMap<>();
+    standins.forEach((id, standin) -> timesById.put(id, standin.lastWorkMillis()));
+    return timesById;
   }
 
   private static String json(Object value) throws JsonProcessingException {
--- a/standins/src/main/java/org/magnoliaswitch/standins/BackendStandin.java
+++ b/standins/src/main/java/org/magnoliaswitch/standins/BackendStandin.java
@@ -20,28 +20,30 @@
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.core.process.LoadReport;
 
-/** One backend server stand-in: slots, service times, load reports and faults. */
+/**
+ * A simulated backend server with slots, random service times, load reports and injectable faults.
+ */
 final class BackendStandin extends Handler.Abstract {
   private static final int OK = 200;
-  private static final int SHED = 503;
-  private static final int MAX_BODY = 4 * 1024 * 1024;
-  private static final int DEFAULT_BODY = 256;
+  private static final int SERVICE_UNAVAILABLE = 503;
+  private static final int MAX_BODY_BYTES = 4 * 1024 * 1024;
+  private static final int DEFAULT_BODY_BYTES = 256;
   private static final long DEFAULT_WAIT_MILLIS = 30_000;
-  private static final long HELD_BACK_NANOS = TimeUnit.SECONDS.toNanos(20);
+  private static final long LATE_ANSWER_DELAY_NANOS = TimeUnit.SECONDS.toNanos(20);
   private static final int NOISE_PERIOD_MILLIS = 8;
   private static final double NOISE_SLOWDOWN = 4.0;
   private static final double NOISE_SHARE = 0.15;
 
-  /** Counts of one stand-in. */
+  /** The counts of a stand-in, written as JSON for experiments. */
   record Counts(
       String id, long executed, long shed, long expired, long cut, long probes, int held) {}
 
-  private record Sample(long atNanos, int held) {}
+  private record Sample(long timeNanos, int inFlight) {}
 
   private final String id;
   private final BackendBehaviour behaviour;
   private final SlotQueue slots;
-  private final Executions executions;
+  private final ExecutionCounter executions;
   private final Clocks clocks;
   private final SplittableRandom random;
   private final LongAdder executed = new LongAdder();
@@ -55,7 +57,8 @@
   private final Deque<Sample> samples = new ArrayDeque<>();
   private volatile ServerFaults faults = ServerFaults.NONE;
 
-  BackendStandin(String id, BackendBehaviour behaviour, Executions executions, Clocks clocks) {
+  BackendStandin(
+      String id, BackendBehaviour behaviour, ExecutionCounter executions, Clocks clocks) {
     super(InvocationType.BLOCKING);
     this.id = id;
     this.behaviour = behaviour;
@@ -69,7 +72,7 @@
     return id;
   }
 
-  void faults(ServerFaults next) {
+  void setFaults(ServerFaults next) {
     faults = next;
   }
 
@@ -77,16 +80,22 @@
     return faults;
   }
 
-  int held() {
-    return slots.held();
+  int inFlight() {
+    return slots.inFlight();
   }
 
   Counts counts() {
     return new Counts(
-        id, executed.sum(), shed.sum(), expired.sum(), cut.sum(), probeMillis.size(), slots.held());
+        id,
+        executed.sum(),
+        shed.sum(),
+        expired.sum(),
+        cut.sum(),
+        probeMillis.size(),
+        slots.inFlight());
   }
 
-  /** When the last request other than a probe arrived. */
+  /** Returns the wall-clock time at which the last request other than a probe arrived. */
   long lastWorkMillis() {
     return lastWorkMillis.get();
   }
@@ -105,41 +114,41 @@
 
   @Override
   public boolean handle(Request request, Response response, Callback callback) throws Exception {
-    ServerFaults now = faults;
-    long opened = request.getConnectionMetaData().getConnection().getCreatedTimeStamp();
-    if (opened < now.silentBefore()) {
+    ServerFaults current = faults;
+    long openedMillis = request.getConnectionMetaData().getConnection().getCreatedTimeStamp();
+    if (openedMillis < current.silentBefore()) {
       hang(request);
       callback.failed(new IllegalStateException("silent connection"));
       return true;
     }
     if (Request.getPathInContext(request).equals("/load")) {
       probeMillis.add(clocks.millis());
-      long began = clocks.nanos();
-      answer(response, callback, OK, new byte[0]);
-      probeNanos.add(clocks.nanos() - began);
+      long startNanos = clocks.nanos();
+      send(response, callback, OK, new byte[0]);
+      probeNanos.add(clocks.nanos() - startNanos);
       return true;
     }
     lastWorkMillis.set(clocks.millis());
-    readAll(request);
-    if (now.rejectShare() > 0 && chance(now.rejectShare())) {
+    discardBody(request);
+    if (current.rejectShare() > 0 && occurs(current.rejectShare())) {
       shed.increment();
-      answer(response, callback, SHED, "rejected\n".getBytes(StandardCharsets.UTF_8));
+      send(response, callback, SERVICE_UNAVAILABLE, "rejected\n".getBytes(StandardCharsets.UTF_8));
       return true;
     }
-    work(request, response, callback, now);
+    serve(request, response, callback, current);
     return true;
   }
 
-  private void work(Request request, Response response, Callback callback, ServerFaults now) {
-    if (!slots.enter()) {
+  private void serve(Request request, Response response, Callback callback, ServerFaults current) {
+    if (!slots.tryEnter()) {
       shed.increment();
-      answer(response, callback, SHED, "full\n".getBytes(StandardCharsets.UTF_8));
+      send(response, callback, SERVICE_UNAVAILABLE, "full\n".getBytes(StandardCharsets.UTF_8));
       return;
     }
     try {
-      if (!slots.takeSlot(waitMillis(request))) {
+      if (!slots.tryAcquireSlot(waitMillis(request))) {
         expired.increment();
-        answer(response, callback, SHED, "expired\n".getBytes(StandardCharsets.UTF_8));
+        send(response, callback, SERVICE_UNAVAILABLE, "expired\n".getBytes(StandardCharsets.UTF_8));
         return;
       }
       try {
@@ -150,36 +159,37 @@
     } finally {
       slots.leave();
     }
-    respond(request, response, callback, now);
+    respond(request, response, callback, current);
   }
 
   private void execute(Request request) {
     executed.increment();
     String operation = request.getHeaders().get("Operation-Id");
-    executions.executed(operation == null ? "" : operation);
+    executions.recordExecution(operation == null ? "" : operation);
     long nanos = (long) (serviceMillis() * 1e6);
     busyNanos.add(nanos);
-    long end = clocks.nanos() + nanos;
-    for (long left = nanos; left > 0; left = end - clocks.nanos()) {
-      LockSupport.parkNanos(left);
+    long endNanos = clocks.nanos() + nanos;
+    for (long remaining = nanos; remaining > 0; remaining = endNanos - clocks.nanos()) {
+      LockSupport.parkNanos(remaining);
     }
   }
 
-  private void respond(Request request, Response response, Callback callback, ServerFaults now) {
-    byte[] body = body(request);
-    if (now.lateShare() > 0 && chance(now.lateShare())) {
-      LockSupport.parkNanos(HELD_BACK_NANOS);
+  private void respond(
+      Request request, Response response, Callback callback, ServerFaults current) {
+    byte[] body = answerBody(request);
+    if (current.lateShare() > 0 && occurs(current.lateShare())) {
+      LockSupport.parkNanos(LATE_ANSWER_DELAY_NANOS);
     }
-    if (now.cutShare() > 0 && chance(now.cutShare())) {
+    if (current.cutShare() > 0 && occurs(current.cutShare())) {
       cut.increment();
-      cutShort(response, callback, body);
+      sendTruncated(response, callback, body);
       return;
     }
-    answer(response, callback, OK, body);
+    send(response, callback, OK, body);
   }
 
-  private void cutShort(Response response, Callback callback, byte[] body) {
-    head(response, OK);
+  private void sendTruncated(Response response, Callback callback, byte[] body) {
+    writeHead(response, OK);
     response.getHeaders().put(HttpHeader.CONTENT_LENGTH, body.length);
     try {
       Content.Sink.write(response, false, ByteBuffer.wrap(body, 0, body.length / 2));
@@ -190,37 +200,40 @@
     callback.failed(new IllegalStateException("cut short"));
   }
 
-  private void answer(Response response, Callback callback, int status, byte[] body) {
-    head(response, status);
+  private void send(Response response, Callback callback, int status, byte[] body) {
+    writeHead(response, status);
     response.getHeaders().put(HttpHeader.CONTENT_LENGTH, body.length);
     response.write(true, ByteBuffer.wrap(body), callback);
   }
 
-  private void head(Response response, int status) {
-    ServerFaults now = faults;
+  private void writeHead(Response response, int status) {
+    ServerFaults current = faults;
     response.setStatus(status);
-    int held = now.lie() ? 0 : reported(now.lagMillis());
-    LoadReport report = new LoadReport(held, slots.capacity(), now.draining());
+    int inFlight = current.lie() ? 0 : laggedInFlight(current.lagMillis());
+    LoadReport report = new LoadReport(inFlight, slots.capacity(), current.draining());
     response.getHeaders().put(new HttpField(LoadReport.HEADER, report.format()));
     response.getHeaders().put("Server-Id", id);
-    if (now.draining()) {
+    if (current.draining()) {
       response.getHeaders().put(HttpHeader.CONNECTION, "close");
     }
   }
 
-  /** The load some milliseconds ago; samples are taken as reports are made. */
-  private int reported(int lagMillis) {
+  /**
+   * Returns the number of requests in flight {@code lagMillis} ago. Samples are taken only when a
+   * load report is created, so the actual lag may be shorter.
+   */
+  private int laggedInFlight(int lagMillis) {
     if (lagMillis == 0) {
-      return slots.held();
+      return slots.inFlight();
     }
     long now = clocks.nanos();
-    long wanted = now - TimeUnit.MILLISECONDS.toNanos(lagMillis);
+    long sampleNanos = now - TimeUnit.MILLISECONDS.toNanos(lagMillis);
     synchronized (samples) {
-      samples.addLast(new Sample(now, slots.held()));
-      while (samples.size() > 1 && samples.peekFirst().atNanos() < wanted) {
+      samples.addLast(new Sample(now, slots.inFlight()));
+      while (samples.size() > 1 && samples.peekFirst().timeNanos() < sampleNanos) {
         samples.removeFirst();
       }
-      return samples.peekFirst().held();
+      return samples.peekFirst().inFlight();
     }
   }
 
@@ -231,48 +244,55 @@
     }
     double sigma = behaviour.spread();
     double logNormal = Math.exp(sigma * gaussian - sigma * sigma / 2);
-    return behaviour.serviceMillis() * logNormal * faults.slowdown() * noise();
+    return behaviour.serviceMillis() * logNormal * faults.slowdown() * noiseFactor();
   }
 
-  /** A noisy neighbour: in some periods of a few milliseconds everything takes longer. */
-  private double noise() {
+  /** Simulates a noisy neighbour: returns the factor on the service time in the current period. */
+  private double noiseFactor() {
     if (!faults.noise()) {
       return 1;
     }
     long period = clocks.millis() / (NOISE_PERIOD_MILLIS * 10L);
-    double draw = new SplittableRandom(behaviour.seed() * 31 + id.hashCode() + period).nextDouble();
-    return draw < NOISE_SHARE ? NOISE_SLOWDOWN : 1;
+    double randomValue =
+        new SplittableRandom(behaviour.seed() * 31 + id.hashCode() + period).nextDouble();
+    return randomValue < NOISE_SHARE ? NOISE_SLOWDOWN : 1;
   }
 
-  private boolean chance(double share) {
+  private boolean occurs(double probability) {
     synchronized (random) {
-      return random.nextDouble() < share;
+      return random.nextDouble() < probability;
     }
   }
 
-  private static void readAll(Request request) throws java.io.IOException {
+  private static void discardBody(Request request) throws java.io.IOException {
     if (request.getLength() != 0) {
-      byte[] unused = Content.Source.asInputStream(request).readNBytes(MAX_BODY);
+      byte[] unused = Content.Source.asInputStream(request).readNBytes(MAX_BODY_BYTES);
     }
   }
 
   private static long waitMillis(Request request) {
-    String left = request.getHeaders().get("Request-Timeout-Ms");
-    return left == null ? DEFAULT_WAIT_MILLIS : Long.parseLong(left);
+    String timeout = request.getHeaders().get("Request-Timeout-Ms");
+    return timeout == null ? DEFAULT_WAIT_MILLIS : Long.parseLong(timeout);
   }
 
-  /** A body that names its request, so that a caller can tell its own whole answer. */
-  static byte[] body(Request request) {
-    String requestId = String.valueOf(request.getHeaders().get("Operation-Id"));
-    String wanted = Request.extractQueryParameters(request).getValue("size");
-    int size = wanted == null ? DEFAULT_BODY : Math.min(MAX_BODY, Integer.parseInt(wanted));
-    return AnswerBody.of(requestId, size);
+  /**
+   * Returns a body that contains the operation's id, so that the caller can verify that the answer
+   * is complete and its own.
+   */
+  static byte[] answerBody(Request request) {
+    String operation = String.valueOf(request.getHeaders().get("Operation-Id"));
+    String requestedSize = Request.extractQueryParameters(request).getValue("size");
+    int size =
+        requestedSize == null
+            ? DEFAULT_BODY_BYTES
+            : Math.min(MAX_BODY_BYTES, Integer.parseInt(requestedSize));
+    return AnswerBody.of(operation, size);
   }
 
   private static void hang(Request request) throws InterruptedException {
     var endPoint = request.getConnectionMetaData().getConnection().getEndPoint();
-    long end = TimeUnit.SECONDS.toMillis(60) / 50;
-    for (long i = 0; i < end && endPoint.isOpen(); i++) {
+    long maxWaits = TimeUnit.SECONDS.toMillis(60) / 50;
+    for (long i = 0; i < maxWaits && endPoint.isOpen(); i++) {
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(50));
     }
   }
--- a/standins/src/main/java/org/magnoliaswitch/standins/ExecutionCounter.java
+++ b/standins/src/main/java/org/magnoliaswitch/standins/ExecutionCounter.java
@@ -5,21 +5,29 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** What all backend stand-ins executed, so that double executions can be counted. */
-final class Executions {
-  private final Map<String, AtomicInteger> byOperation = new ConcurrentHashMap<>();
+/**
+ * Counts the executions of all backend stand-ins by operation, to detect operations that were
+ * executed more than once.
+ */
+final class ExecutionCounter {
+  private final Map<String, AtomicInteger> countsByOperation = new ConcurrentHashMap<>();
   private final AtomicLong total = new AtomicLong();
 
-  /** Notes one execution of an operation, named by the caller and the same over its retries. */
-  void executed(String operation) {
+  /**
+   * Records an execution.
+   *
+   * @param operation id that the caller gives to the operation and keeps for its retries; empty if
+   *     there is none
+   */
+  void recordExecution(String operation) {
     total.incrementAndGet();
     if (!operation.isEmpty()) {
-      byOperation.computeIfAbsent(operation, k -> new AtomicInteger()).incrementAndGet();
+      countsByOperation.computeIfAbsent(operation, k -> new AtomicInteger()).incrementAndGet();
     }
   }
 
-  Map<String, AtomicInteger> byOperation() {
-    return byOperation;
+  Map<String, AtomicInteger> countsByOperation() {
+    return countsByOperation;
   }
 
   long total() {
@@ -27,7 +35,7 @@
   }
 
   void clear() {
-    byOperation.clear();
+    countsByOperation.clear();
     total.set(0);
   }
 }
--- a/standins/src/main/java/org/magnoliaswitch/standins/PlatformFaults.java
+++ b/standins/src/main/java/org/magnoliaswitch/standins/PlatformFaults.java
@@ -1,14 +1,14 @@
 package org.magnoliaswitch.standins;
 
 /**
- * What is wrong with the platform stand-in now.
+ * The faults that the platform stand-in currently simulates.
  *
- * @param down whether every call fails without effect
- * @param slowMillis time added to every call
- * @param lostShare share of writes that take effect while their answer is lost
- * @param lateShare share of writes that take effect only after their caller has given up
- * @param lateMillis how much later
- * @param listLagMillis how far the instance list lags behind
+ * @param down whether every call fails without any effect
+ * @param slowMillis milliseconds added to every call
+ * @param lostShare share of transactions that are applied but whose answer is lost
+ * @param lateShare share of transactions that are applied only after the call has failed
+ * @param lateMillis delay in milliseconds after which transactions of {@code lateShare} are applied
+ * @param listLagMillis lag of the instance list in milliseconds
  */
 public record PlatformFaults(
     boolean down,
--- a/standins/src/main/java/org/magnoliaswitch/standins/PlatformStandin.java
+++ b/standins/src/main/java/org/magnoliaswitch/standins/PlatformStandin.java
@@ -26,26 +26,29 @@
 import org.magnoliaswitch.core.platform.TransactionResult;
 import org.magnoliaswitch.core.version.Json;
 
-/** The platform's table, object store and instance list over HTTP, with faults. */
+/**
+ * A simulated platform over HTTP: table service, object store and instance list, with injectable
+ * faults.
+ */
 public final class PlatformStandin extends Handler.Abstract implements AutoCloseable {
   private static final int OK = 200;
   private static final int NOT_FOUND = 404;
   private static final int CONFLICT = 409;
-  private static final int FAILED = 503;
-  private static final int MAX_OBJECT = 64 * 1024 * 1024;
-  private static final String OBJECTS = "/objects";
+  private static final int SERVICE_UNAVAILABLE = 503;
+  private static final int MAX_BODY_BYTES = 64 * 1024 * 1024;
+  private static final String OBJECTS_PATH = "/objects";
 
-  /** Counts for the experiments. */
+  /** The numbers of calls and writes, written as JSON for experiments. */
   record Counts(long transactions, long rowWrites, long objectWrites, long reads) {}
 
-  private record ListedSince(List<InstanceList.ListedMachine> list, long sinceMillis) {}
+  private record ListVersion(List<InstanceList.ListedMachine> list, long sinceMillis) {}
 
   private final Server server;
   private final ServerConnector connector;
   private final Clocks clocks;
   private final StandinTable table;
   private final Map<String, byte[]> objects = new ConcurrentHashMap<>();
-  private final ConcurrentLinkedDeque<ListedSince> lists = new ConcurrentLinkedDeque<>();
+  private final ConcurrentLinkedDeque<ListVersion> lists = new ConcurrentLinkedDeque<>();
   private final AtomicLong transactions = new AtomicLong();
   private final AtomicLong rowWrites = new AtomicLong();
   private final AtomicLong objectWrites = new AtomicLong();
@@ -57,7 +60,7 @@
     super(InvocationType.BLOCKING);
     this.clocks = clocks;
     this.table = new StandinTable(clocks);
-    lists.add(new ListedSince(List.of(), 0));
+    lists.add(new ListVersion(List.of(), 0));
     QueuedThreadPool threads = new QueuedThreadPool(32, 4);
     threads.setVirtualThreadsExecutor(Executors.newVirtualThreadPerTaskExecutor());
     this.server = new Server(threads);
@@ -68,17 +71,17 @@
     server.setHandler(this);
   }
 
-  /** Starts to listen. */
+  /** Starts the HTTP server. */
   public void startServer() throws Exception {
     server.start();
   }
 
-  /** The port listened on. */
+  /** Returns the port of the listening socket. */
   public int port() {
     return connector.getLocalPort();
   }
 
-  /** Sets what is wrong. */
+  /** Replaces the simulated faults. */
   public void setFaults(PlatformFaults next) {
     faults = next;
   }
@@ -92,15 +95,15 @@
   public boolean handle(Request request, Response response, Callback callback) throws Exception {
     String path = Request.getPathInContext(request);
     if (path.startsWith("/standin/")) {
-      steer(request, response, callback, path);
+      handleControl(request, response, callback, path);
       return true;
     }
-    PlatformFaults now = faults;
-    if (now.slowMillis() > 0) {
-      LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(now.slowMillis()));
+    PlatformFaults current = faults;
+    if (current.slowMillis() > 0) {
+      LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(current.slowMillis()));
     }
-    if (now.down()) {
-      BackendFleet.reply(response, callback, FAILED, "down\n");
+    if (current.down()) {
+      BackendFleet.reply(response, callback, SERVICE_UNAVAILABLE, "down\n");
       return true;
     }
     serve(request, response, callback, path);
@@ -112,39 +115,40 @@
     switch (path) {
       case "/table/read" -> {
         reads.incrementAndGet();
-        List<String> keys = Json.MAPPER.readValue(body(request), new TypeReference<>() {});
-        json(response, callback, OK, table.read(keys));
+        List<String> keys = Json.MAPPER.readValue(readBody(request), new TypeReference<>() {});
+        replyJson(response, callback, OK, table.read(keys));
       }
       case "/table/scan" -> {
         reads.incrementAndGet();
         var query = Request.extractQueryParameters(request);
         int limit = Integer.parseInt(query.getValue("limit"));
-        json(response, callback, OK, table.scan(query.getValue("prefix"), limit));
+        replyJson(response, callback, OK, table.scan(query.getValue("prefix"), limit));
       }
       case "/table/transact" -> transact(request, response, callback);
       case "/instances" -> {
         reads.incrementAndGet();
-        json(response, callback, OK, shownList());
+        replyJson(response, callback, OK, laggedList());
       }
-      default -> objects(request, response, callback, path);
+      default -> serveObject(request, response, callback, path);
     }
   }
 
   private void transact(Request request, Response response, Callback callback) throws Exception {
-    List<ConditionalWrite> writes = Json.MAPPER.readValue(body(request), new TypeReference<>() {});
-    PlatformFaults now = faults;
-    if (chance(now.lateShare())) {
+    List<ConditionalWrite> writes =
+        Json.MAPPER.readValue(readBody(request), new TypeReference<>() {});
+    PlatformFaults current = faults;
+    if (occurs(current.lateShare())) {
       Thread.ofVirtual()
           .start(
               () -> {
-                LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(now.lateMillis()));
+                LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(current.lateMillis()));
                 apply(writes);
               });
       callback.failed(new IllegalStateException("the write lands late"));
       return;
     }
     TransactionResult result = apply(writes);
-    if (chance(now.lostShare())) {
+    if (occurs(current.lostShare())) {
       callback.failed(new IllegalStateException("the answer is lost"));
       return;
     }
@@ -152,9 +156,9 @@
       case TransactionResult.Committed committed ->
           BackendFleet.reply(response, callback, OK, "committed\n");
       case TransactionResult.Conflict conflict ->
-          json(response, callback, CONFLICT, conflict.rows());
+          replyJson(response, callback, CONFLICT, conflict.rows());
       case TransactionResult.Unknown unknown ->
-          BackendFleet.reply(response, callback, FAILED, unknown.reason());
+          BackendFleet.reply(response, callback, SERVICE_UNAVAILABLE, unknown.reason());
     }
   }
 
@@ -164,16 +168,16 @@
     return table.transact(writes);
   }
 
-  private void objects(Request request, Response response, Callback callback, String path)
+  private void serveObject(Request request, Response response, Callback callback, String path)
       throws Exception {
-    if (!path.equals(OBJECTS)) {
+    if (!path.equals(OBJECTS_PATH)) {
       BackendFleet.reply(response, callback, NOT_FOUND, "no such path\n");
       return;
     }
     String name = Request.extractQueryParameters(request).getValue("name");
     if (request.getMethod().equals("PUT")) {
       objectWrites.incrementAndGet();
-      objects.put(name, body(request));
+      objects.put(name, readBody(request));
       BackendFleet.reply(response, callback, OK, "stored\n");
       return;
     }
@@ -187,12 +191,12 @@
     }
   }
 
-  private void steer(Request request, Response response, Callback callback, String path)
+  private void handleControl(Request request, Response response, Callback callback, String path)
       throws Exception {
     switch (path) {
       case "/standin/ready" -> BackendFleet.reply(response, callback, OK, "ready\n");
       case "/standin/counts" ->
-          json(
+          replyJson(
               response,
               callback,
               OK,
@@ -202,45 +206,46 @@
             (com.fasterxml.jackson.databind.node.ObjectNode)
                 Json.MAPPER.valueToTree(PlatformFaults.NONE);
         merged.setAll(
-            (com.fasterxml.jackson.databind.node.ObjectNode) Json.MAPPER.readTree(body(request)));
+            (com.fasterxml.jackson.databind.node.ObjectNode)
+                Json.MAPPER.readTree(readBody(request)));
         faults = Json.MAPPER.treeToValue(merged, PlatformFaults.class);
         BackendFleet.reply(response, callback, OK, "set\n");
       }
       case "/standin/instances" -> {
         List<InstanceList.ListedMachine> list =
-            Json.MAPPER.readValue(body(request), new TypeReference<>() {});
-        lists.addLast(new ListedSince(list, clocks.millis()));
+            Json.MAPPER.readValue(readBody(request), new TypeReference<>() {});
+        lists.addLast(new ListVersion(list, clocks.millis()));
         BackendFleet.reply(response, callback, OK, "set\n");
       }
       default -> BackendFleet.reply(response, callback, NOT_FOUND, "no such path\n");
     }
   }
 
-  private List<InstanceList.ListedMachine> shownList() {
-    long shown = clocks.millis() - faults.listLagMillis();
+  private List<InstanceList.ListedMachine> laggedList() {
+    long visibleMillis = clocks.millis() - faults.listLagMillis();
     List<InstanceList.ListedMachine> latest = List.of();
-    for (ListedSince list : lists) {
-      if (list.sinceMillis() <= shown) {
+    for (ListVersion list : lists) {
+      if (list.sinceMillis() <= visibleMillis) {
         latest = list.list();
       }
     }
     return latest;
   }
 
-  private boolean chance(double share) {
+  private boolean occurs(double probability) {
     synchronized (random) {
-      return share > 0 && random.nextDouble() < share;
+      return probability > 0 && random.nextDouble() < probability;
     }
   }
 
-  private static byte[] body(Request request) throws Exception {
+  private static byte[] readBody(Request request) throws Exception {
     ByteBuffer buffer = Content.Source.asByteBuffer(request);
-    byte[] bytes = new byte[Math.min(MAX_OBJECT, buffer.remaining())];
+    byte[] bytes = new byte[Math.min(MAX_BODY_BYTES, buffer.remaining())];
     buffer.get(bytes);
     return bytes;
   }
 
-  private static void json(Response response, Callback callback, int status, Object value)
+  private static void replyJson(Response response, Callback callback, int status, Object value)
       throws Exception {
     response.setStatus(status);
     byte[] bytes = Json.MAPPER.writeValueAsString(value).getBytes(StandardCharsets.UTF_8);
--- a/standins/src/main/java/org/magnoliaswitch/standins/ServerFaults.java
+++ b/standins/src/main/java/org/magnoliaswitch/standins/ServerFaults.java
@@ -3,18 +3,19 @@
 import com.fasterxml.jackson.annotation.JsonIgnoreProperties;
 
 /**
- * What is wrong with a backend stand-in now.
+ * The faults that a backend stand-in currently simulates.
  *
- * @param slowdown factor on service times, 1 for none
- * @param noise whether service times shift by themselves every few milliseconds
- * @param rejectShare share of requests refused at once
- * @param cutShare share of answers cut short after execution
- * @param lateShare share of answers held back past any deadline after execution
- * @param silentBefore connections opened before this wall-clock time never answer, 0 for none
- * @param lagMillis age of the load reports
- * @param lie whether reports say that the server is idle
- * @param draining whether it says that it is about to stop
- * @param stopped whether its listener is closed
+ * @param slowdown factor by which service times are multiplied, 1 for none
+ * @param noise whether service times are longer in random short periods, as with a noisy neighbour
+ * @param rejectShare share of requests rejected immediately
+ * @param cutShare share of answers truncated after execution
+ * @param lateShare share of answers delayed beyond any deadline after execution
+ * @param silentBefore connections opened before this wall-clock time in milliseconds receive no
+ *     answer, 0 for none
+ * @param lagMillis age of the load reports in milliseconds
+ * @param lie whether load reports claim that the server is idle
+ * @param draining whether the server announces that it is about to stop
+ * @param stopped whether the listening socket is closed
  */
 @JsonIgnoreProperties(ignoreUnknown = false)
 public record ServerFaults(
--- a/standins/src/main/java/org/magnoliaswitch/standins/SlotQueue.java
+++ b/standins/src/main/java/org/magnoliaswitch/standins/SlotQueue.java
@@ -4,32 +4,34 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The slots of one backend stand-in with a bounded first-come queue. */
+/** The slots of a backend stand-in and a bounded queue, served in the order of arrival. */
 final class SlotQueue {
   private final Semaphore slots;
   private final int capacity;
-  private final int queue;
-  private final AtomicInteger held = new AtomicInteger();
+  private final int queueLimit;
+  private final AtomicInteger inFlight = new AtomicInteger();
 
-  SlotQueue(int slots, int queue) {
+  SlotQueue(int slots, int queueLimit) {
     this.slots = new Semaphore(slots, true);
     this.capacity = slots;
-    this.queue = queue;
+    this.queueLimit = queueLimit;
   }
 
-  /** Enters the queue; false when it is full. */
-  boolean enter() {
-    if (held.incrementAndGet() > capacity + queue) {
-      held.decrementAndGet();
+  /** Adds a request; returns false if all slots are in use and the queue is full. */
+  boolean tryEnter() {
+    if (inFlight.incrementAndGet() > capacity + queueLimit) {
+      inFlight.decrementAndGet();
       return false;
     }
     return true;
   }
 
-  /** Waits for a slot; false when the time was up first. */
-  boolean takeSlot(long waitMillis) {
+  /**
+   * Waits for a slot; returns false if none is free within the time or the thread is interrupted.
+   */
+  boolean tryAcquireSlot(long timeoutMillis) {
     try {
-      return slots.tryAcquire(waitMillis, TimeUnit.MILLISECONDS);
+      return slots.tryAcquire(timeoutMillis, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return false;
@@ -41,11 +43,11 @@
   }
 
   void leave() {
-    held.decrementAndGet();
+    inFlight.decrementAndGet();
   }
 
-  int held() {
-    return held.get();
+  int inFlight() {
+    return inFlight.get();
   }
 
   int capacity() {
--- a/standins/src/main/java/org/magnoliaswitch/standins/StandinMain.java
+++ b/standins/src/main/java/org/magnoliaswitch/standins/StandinMain.java
@@ -18,53 +18,65 @@
 import org.magnoliaswitch.core.version.Service;
 import org.magnoliaswitch.core.version.SnapshotParser;
 
-/** Command line of {@code magnolia-standin}. */
+/** The command-line program {@code magnolia-standin}. */
 public final class StandinMain {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final int USAGE = 2;
 
   private final OptionParser parser = new OptionParser();
   private final OptionSpec<String> host =
-      parser.accepts("host", "IP number").withRequiredArg().defaultsTo("127.0.0.1");
+      parser
+          .accepts("host", "IP address of the platform and the control interface")
+          .withRequiredArg()
+          .defaultsTo("127.0.0.1");
   private final OptionSpec<Integer> platform =
       parser
-          .accepts("platform-port", "serve the platform on this port")
+          .accepts("platform-port", "port of the simulated platform")
           .withRequiredArg()
           .ofType(Integer.class);
   private final OptionSpec<String> declarations =
       parser
-          .accepts("declarations", "serve every backend server of these declarations")
+          .accepts(
+              "declarations", "directory of declarations; every backend server in it is simulated")
           .withRequiredArg()
           .describedAs("DIR");
   private final OptionSpec<Integer> control =
-      number("control-port", "port that steers the backend servers", 7800);
+      integerOption(
+          "control-port",
+          "port of the interface that controls the simulated backend servers",
+          7800);
   private final OptionSpec<Integer> queue =
-      number("queue", "requests that may wait at a backend server", 24);
-  private final OptionSpec<Integer> seed = number("seed", "seed of service times", 1);
-  private final OptionSpec<Double> millis =
+      integerOption("queue", "maximum number of requests queued at a backend server", 24);
+  private final OptionSpec<Integer> seed =
+      integerOption("seed", "seed of the random service times", 1);
+  private final OptionSpec<Double> serviceMillis =
       parser
-          .accepts("service-ms", "mean service time")
+          .accepts("service-ms", "mean service time in milliseconds")
           .withRequiredArg()
           .ofType(Double.class)
           .defaultsTo(5.0);
   private final OptionSpec<Double> spread =
       parser
-          .accepts("spread", "sigma of the log-normal service time")
+          .accepts("spread", "sigma of the log-normal distribution of service times")
           .withRequiredArg()
           .ofType(Double.class)
           .defaultsTo(0.5);
-  private final OptionSpec<Void> help = parser.accepts("help", "print this text").forHelp();
+  private final OptionSpec<Void> help = parser.accepts("help", "print this help").forHelp();
   private final OptionSpec<Void> version = parser.accepts("version", "print the version").forHelp();
 
   private StandinMain() {}
 
-  /** Starts stand-ins until the process is ended. */
+  /** Starts the stand-ins, which run until the process is terminated. */
   public static void main(String[] arguments) throws Exception {
     new StandinMain().run(arguments);
   }
 
-  private OptionSpec<Integer> number(String name, String text, int fallback) {
-    return parser.accepts(name, text).withRequiredArg().ofType(Integer.class).defaultsTo(fallback);
+  private OptionSpec<Integer> integerOption(String name, String description, int defaultValue) {
+    return parser
+        .accepts(name, description)
+        .withRequiredArg()
+        .ofType(Integer.class)
+        .defaultsTo(defaultValue);
   }
 
   private void run(String[] arguments) throws Exception {
@@ -76,12 +88,12 @@
       return;
     }
     if (options.has(help)) {
-      System.out.println("magnolia-standin: stands in for backend servers and the platform\n");
+      System.out.println("magnolia-standin: simulates backend servers and the platform\n");
       parser.printHelpOn(System.out);
     } else if (options.has(version)) {
       System.out.println("magnolia-standin " + Version.TEXT);
     } else if (!options.has(platform) && !options.has(declarations)) {
-      fail("--platform-port or --declarations is needed; see --help");
+      fail("--platform-port or --declarations is required; see --help");
     } else {
       start(options);
     }
@@ -100,13 +112,13 @@
 
   private void startBackends(OptionSet options) throws Exception {
     BackendFleet backends = new BackendFleet(Clocks.system());
-    for (BackendServer server : servers(Path.of(options.valueOf(declarations)))) {
+    for (BackendServer server : readServers(Path.of(options.valueOf(declarations)))) {
       backends.add(
           server,
           new BackendBehaviour(
               server.slots(),
               options.valueOf(queue),
-              options.valueOf(millis),
+              options.valueOf(serviceMillis),
               options.valueOf(spread),
               options.valueOf(seed)));
     }
@@ -114,7 +126,7 @@
     backends.start();
   }
 
-  private static List<BackendServer> servers(Path directory) throws IOException {
+  private static List<BackendServer> readServers(Path directory) throws IOException {
     List<BackendServer> servers = new ArrayList<>();
     List<Problem> problems = new ArrayList<>();
     try (Stream<Path> files = Files.list(directory.resolve("services"))) {
--- a/standins/src/main/java/org/magnoliaswitch/standins/StandinTable.java
+++ b/standins/src/main/java/org/magnoliaswitch/standins/StandinTable.java
@@ -10,12 +10,12 @@
 import org.magnoliaswitch.core.platform.Row;
 import org.magnoliaswitch.core.platform.TransactionResult;
 
-/** A table in memory with transactions of conditional writes and rows that expire. */
+/** An in-memory table service with transactions of conditional writes and with rows that expire. */
 public final class StandinTable implements PlatformTable {
-  private record Stored(Row row, long expiresMillis) {}
+  private record StoredRow(Row row, long expiresMillis) {}
 
   private final Clocks clocks;
-  private final NavigableMap<String, Stored> rows = new TreeMap<>();
+  private final NavigableMap<String, StoredRow> rows = new TreeMap<>();
 
   public StandinTable(Clocks clocks) {
     this.clocks = clocks;
@@ -56,13 +56,13 @@
               ? Long.MAX_VALUE
               : clocks.millis() + write.retentionSeconds() * 1_000;
       Row row = new Row(write.key(), write.expectedVersion() + 1, write.value());
-      rows.put(write.key(), new Stored(row, expires));
+      rows.put(write.key(), new StoredRow(row, expires));
     }
     return new TransactionResult.Committed();
   }
 
   private Row row(String key) {
-    Stored stored = rows.get(key);
+    StoredRow stored = rows.get(key);
     boolean present = stored != null && stored.expiresMillis() > clocks.millis();
     return present ? stored.row() : new Row(key, 0, "");
   }
--- a/standins/src/main/java/org/magnoliaswitch/standins/package-info.java
+++ b/standins/src/main/java/org/magnoliaswitch/standins/package-info.java
@@ -1,4 +1,4 @@
-/** Small stand-ins for backend servers and the platform, for tests and experiments only. */
+/** Simulated backend servers and a simulated platform, for tests and experiments only. */
 @NullMarked
 package org.magnoliaswitch.standins;
 
