--- a/core/src/main/java/org/magnoliaswitch/core/operator/ChangeService.java
+++ b/core/src/main/java/org/magnoliaswitch/core/operator/ChangeService.java
@@ -87,7 +87,7 @@
     try {
       contents.values().forEach(control.cache()::put);
       if (control.state().version().adopt(accepted.head().manifest())) {
-        control.gossip().pushNews();
+        control.gossip().pushUpdate();
       }
     } catch (IOException e) {
       // The version is accepted nevertheless. This instance adopts it later, like any other
--- a/core/src/main/java/org/magnoliaswitch/core/process/ControlPlane.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ControlPlane.java
@@ -15,7 +15,7 @@
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.core.clock.HybridClock;
 import org.magnoliaswitch.core.peer.Address;
-import org.magnoliaswitch.core.peer.LeavingMark;
+import org.magnoliaswitch.core.peer.LeavingNotice;
 import org.magnoliaswitch.core.peer.Member;
 import org.magnoliaswitch.core.peer.PeerClient;
 import org.magnoliaswitch.core.peer.PeerMessage;
@@ -26,23 +26,26 @@
 import org.magnoliaswitch.core.platform.PlatformException;
 import org.magnoliaswitch.core.version.ServerState;
 
-/** Membership, configuration and claims of one instance, with their timers and peer listener. */
+/**
+ * The control plane of one instance: membership, configuration and key claims, with their timers
+ * and the peer listener.
+ */
 public final class ControlPlane implements AutoCloseable {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-  private static final int TIMELINE_EVENTS = 20_000;
-  private static final int FIRST_MEETINGS = 8;
+  private static final int TIMELINE_CAPACITY = 20_000;
+  private static final int INITIAL_EXCHANGES = 8;
   private static final long MAINTENANCE_MILLIS = 1_000;
-  private static final long RECORD_MILLIS = 2_000;
-  private static final int LEAVE_MEETINGS = 6;
+  private static final long OUTCOME_FLUSH_MILLIS = 2_000;
+  private static final int LEAVE_EXCHANGES = 6;
   private static final long PROBE_TICK_MILLIS = 100;
 
   /**
-   * What an instance is given to run its control.
+   * Parameters of the control plane.
    *
-   * @param identity who it is
-   * @param seeds peers to meet first
-   * @param gossip rates
-   * @param secret shared by all instances
+   * @param identity name and addresses of the instance
+   * @param seeds peers to contact first
+   * @param gossip rates of the gossip
+   * @param secret secret shared by all instances
    */
   public record Setup(
       InstanceIdentity identity, List<Address> seeds, GossipSettings gossip, PeerSecret secret) {}
@@ -69,7 +72,7 @@
       Executors.newSingleThreadScheduledExecutor(
           Thread.ofPlatform().name("control-timer").daemon().factory());
   private final ExecutorService executor = Executors.newVirtualThreadPerTaskExecutor();
-  private volatile int sharedAmong = 1;
+  private volatile int lastInstanceCount = 1;
   private volatile boolean caughtUp;
 
   public ControlPlane(Setup setup, Platform platform, Clocks clocks, RandomGenerator random)
@@ -78,7 +81,7 @@
     this.platform = platform;
     Member self = setup.identity().newIncarnation();
     HybridClock hybrid = new HybridClock(clocks.wall());
-    Timeline timeline = new Timeline(setup.identity().instance(), hybrid, TIMELINE_EVENTS);
+    Timeline timeline = new Timeline(setup.identity().instance(), hybrid, TIMELINE_CAPACITY);
     this.cache = new ContentCache();
     CurrentVersion version = new CurrentVersion(cache, timeline);
     Membership membership = new Membership(self, clocks);
@@ -98,8 +101,8 @@
         new Gossip(setup.gossip(), setup.seeds(), state, follower, client, random, executor);
     this.crashGossip = new CrashGossip(crashes, gossip, client, timeline, executor);
     this.registry = new ServiceRegistry(membership, clocks);
-    version.listen(registry::apply);
-    this.prober = new Prober(registry, state, clocks, gossip::pushNews);
+    version.addListener(registry::apply);
+    this.prober = new Prober(registry, state, clocks, gossip::pushUpdate);
     this.issuer = new KeyIssuer(self.incarnation(), setup.secret(), clocks);
     this.ledger = new OutcomeLedger(clocks);
     this.records = new OutcomeRecords(platform.objects(), self.incarnation(), clocks);
@@ -114,45 +117,48 @@
     timeline.record(EventKind.STARTED, "incarnation=" + self.incarnation());
   }
 
-  /** Begins to meet peers and to follow the configuration. */
+  /** Starts the exchanges with peers and the polling of the configuration. */
   public void start() {
     executor.execute(this::catchUp);
-    repeat(gossip::meetOne, gossip::nextMeetingMillis);
-    repeat(crashGossip::repair, gossip::nextMeetingMillis);
-    repeat(this::pollStore, gossip::nextStorePollMillis);
-    repeat(this::maintain, () -> MAINTENANCE_MILLIS);
-    repeat(this::record, () -> RECORD_MILLIS);
-    repeat(prober::probeDue, () -> PROBE_TICK_MILLIS);
+    scheduleRepeatedly(gossip::exchangeWithRandomPeer, gossip::nextExchangeMillis);
+    scheduleRepeatedly(crashGossip::repair, gossip::nextExchangeMillis);
+    scheduleRepeatedly(this::pollStore, gossip::nextStorePollMillis);
+    scheduleRepeatedly(this::maintain, () -> MAINTENANCE_MILLIS);
+    scheduleRepeatedly(this::record, () -> OUTCOME_FLUSH_MILLIS);
+    scheduleRepeatedly(prober::probeDueServers, () -> PROBE_TICK_MILLIS);
   }
 
   /**
-   * Brings this instance up to date with store and peers.
+   * Brings this instance up to date with the store and its peers.
    *
-   * <p>It asks several peers before it counts as ready, so that a fresh instance does not start
-   * with a version that most others have left behind.
+   * <p>Several peers are asked before the instance counts as ready, so that a new instance does not
+   * start with a version that most others have already replaced.
    */
   public void catchUp() {
-    int answered = gossip.meetMany(FIRST_MEETINGS);
+    int answered = gossip.exchangeWithPeers(INITIAL_EXCHANGES);
     pollStore();
     caughtUp = true;
     logger.atInfo().log(
         "event=caught_up peers=%d version=%d", answered, state.version().get().version());
   }
 
-  /** Whether peers and store were asked, a version is in force, and the instance does not leave. */
+  /**
+   * Returns whether peers and store were asked, a version is in force, and the instance is not
+   * leaving.
+   */
   public boolean ready() {
     return caughtUp && state.version().get().version() > 0 && !state.membership().leaving();
   }
 
-  /** Tells peers that this instance leaves and records all outcomes. */
+  /** Announces to peers that this instance is leaving. */
   public void leave() {
     state.timeline().record(EventKind.STOPPING, "");
     state.membership().leave();
-    gossip.meetMany(LEAVE_MEETINGS);
+    gossip.exchangeWithPeers(LEAVE_EXCHANGES);
   }
 
-  /** Writes the last outcome record; call it when no request is at work any more. */
-  public void recordLast() {
+  /** Writes the final outcome record; must be called after the last request has finished. */
+  public void writeFinalRecord() {
     try {
       records.close(ledger);
     } catch (PlatformException e) {
@@ -186,71 +192,71 @@
 
   private void pollStore() {
     try {
-      boolean news = follower.followStore();
-      state.contact().made();
-      if (news) {
-        gossip.pushNews();
+      boolean changed = follower.followStore();
+      state.contact().recordContact();
+      if (changed) {
+        gossip.pushUpdate();
       }
-      takeList(platform.instances().list());
+      mergeInstanceList(platform.instances().list());
     } catch (PlatformException e) {
       state.timeline().record(EventKind.PLATFORM_UNAVAILABLE, "");
     }
   }
 
-  private void takeList(List<InstanceList.ListedMachine> listed) {
+  private void mergeInstanceList(List<InstanceList.ListedMachine> listed) {
     LeavingServers leaving = state.leaving();
     Set<String> leavingNow =
         listed.stream()
             .filter(InstanceList.ListedMachine::leaving)
             .map(InstanceList.ListedMachine::id)
             .collect(Collectors.toSet());
-    boolean news = false;
+    boolean changed = false;
     for (String id : leavingNow) {
-      news |= tell(id, true, leaving.noticed(id, LeavingMark.Sign.LIST));
+      changed |= recordLeaving(id, true, leaving.markLeaving(id, LeavingNotice.Source.LIST));
     }
-    for (String id : leaving.leavingBy(LeavingMark.Sign.LIST)) {
+    for (String id : leaving.leavingBy(LeavingNotice.Source.LIST)) {
       if (!leavingNow.contains(id)) {
-        news |= tell(id, false, leaving.returned(id, LeavingMark.Sign.LIST));
+        changed |= recordLeaving(id, false, leaving.markReturned(id, LeavingNotice.Source.LIST));
       }
     }
-    if (news) {
-      gossip.pushNews();
+    if (changed) {
+      gossip.pushUpdate();
     }
   }
 
-  private boolean tell(String server, boolean leaves, boolean news) {
-    if (news) {
+  private boolean recordLeaving(String server, boolean leaving, boolean changed) {
+    if (changed) {
       state
           .timeline()
-          .record(EventKind.SERVER_LEAVING, "", "", server, "sign=list leaving=" + leaves);
+          .record(EventKind.SERVER_LEAVING, "", "", server, "sign=list leaving=" + leaving);
     }
-    return news;
+    return changed;
   }
 
   private void maintain() {
     state.membership().expire();
-    state.crashes().forgetOutdated();
+    state.crashes().removeExpired();
     ledger.expire();
     int instances = state.membership().size();
-    if (instances != sharedAmong) {
-      sharedAmong = instances;
-      registry.shareAnew();
+    if (instances != lastInstanceCount) {
+      lastInstanceCount = instances;
+      registry.redistribute();
     }
-    registry.state().handles().forEach(this::tidy);
+    registry.state().handles().forEach(this::closeUnusedConnections);
   }
 
   /**
-   * Closes connections that are of no more use. A server that leaves will close its side: found
-   * idle after its replacement a few seconds later, such connections broke 34 reads of a rolling
-   * replacement.
+   * Closes connections that are no longer needed. A leaving server closes its side: connections
+   * that were still idle when the server was replaced a few seconds later broke 34 reads during a
+   * rolling replacement.
    */
-  private void tidy(ServerHandle handle) {
-    boolean leaves =
+  private void closeUnusedConnections(ServerHandle handle) {
+    boolean leaving =
         handle.server().state() == ServerState.DRAINING || state.leaving().leaving(handle.id());
-    if (leaves) {
+    if (leaving) {
       handle.pool().closeIdle();
     } else {
-      handle.pool().sweep();
+      handle.pool().evictUnusable();
     }
   }
 
@@ -262,7 +268,7 @@
     }
   }
 
-  private void repeat(Runnable task, LongSupplier delayMillis) {
+  private void scheduleRepeatedly(Runnable task, LongSupplier delayMillis) {
     Runnable once =
         () -> {
           try {
@@ -270,7 +276,7 @@
           } catch (RuntimeException e) {
             logger.atSevere().withCause(e).log("event=control_task_failed");
           } finally {
-            repeat(task, delayMillis);
+            scheduleRepeatedly(task, delayMillis);
           }
         };
     try {
@@ -282,67 +288,70 @@
     }
   }
 
-  /** Membership, departures, version and time line. */
+  /**
+   * Returns the in-memory state: membership, leaving servers, version, timeline, crash reports and
+   * contact.
+   */
   public ControlState state() {
     return state;
   }
 
-  /** Accepted versions in the platform. */
+  /** Returns the store of accepted versions. */
   public ConfigurationStore store() {
     return store;
   }
 
-  /** Contents that peers may ask for. */
+  /** Returns the contents that peers may request. */
   public ContentCache cache() {
     return cache;
   }
 
-  /** Gossip with peers. */
+  /** Returns the gossip with peers. */
   public Gossip gossip() {
     return gossip;
   }
 
-  /** Services in force. */
+  /** Returns the services in force. */
   public ServiceRegistry registry() {
     return registry;
   }
 
-  /** Probes of quiet servers. */
+  /** Returns the prober of servers without recent contact. */
   public Prober prober() {
     return prober;
   }
 
-  /** Counts of the peer protocol. */
+  /** Returns the traffic counters of the peer protocol. */
   public PeerTraffic traffic() {
     return traffic;
   }
 
-  /** Issuer of keys. */
+  /** Returns the issuer of keys. */
   public KeyIssuer issuer() {
     return issuer;
   }
 
-  /** Keys of this incarnation. */
+  /** Returns the keys of this incarnation. */
   public OutcomeLedger ledger() {
     return ledger;
   }
 
-  /** Outcome records. */
+  /** Returns the outcome records. */
   public OutcomeRecords records() {
     return records;
   }
 
-  /** Claims of callers' own keys. */
+  /** Returns the service that claims callers' own keys. */
   public ClaimService claims() {
     return claims;
   }
 
-  /** Claim transactions. */
+  /** Returns the batcher of claim transactions. */
   public ClaimBatcher batcher() {
     return batcher;
   }
 
-  /** The clocks of the process. */
+  /** Returns the clocks of the process. */
   public Clocks clocks() {
     return clocks;
   }
--- a/core/src/main/java/org/magnoliaswitch/core/process/RequestCrashes.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/RequestCrashes.java
@@ -14,59 +14,59 @@
 import org.magnoliaswitch.core.crash.Verdict;
 
 /**
- * What one request may do while servers end under requests, and what it did to them; safe for
- * several threads.
+ * Decides how one request may be sent in view of crash reports, and reports the crashes and answers
+ * that it meets. Thread-safe.
  *
- * <p>It is judged twice: by what it asks for, since the same request may come from several
- * addresses, and by that together with its caller, since others may ask for the same and be
- * answered. Whichever is worse holds. While nothing is known of any request, nothing is hashed or
- * looked up.
+ * <p>A request is judged under two identities: by its content, since the same request may come from
+ * several addresses, and by its content together with its caller, since other callers may send the
+ * same content and be answered. The stricter verdict applies. While there are no crash reports,
+ * nothing is hashed or looked up.
  */
 public final class RequestCrashes {
-  /** Ends from which a request gets no further send of the same try. */
-  private static final int ENDS_WITHOUT_REPEAT = 2;
+  /** With this number of suspected crashes, the request gets no further attempt. */
+  private static final int CRASHES_WITHOUT_RETRY = 2;
 
   private final CrashWatch watch;
   private final Clocks clocks;
-  private final long trialNoticeNanos;
+  private final long trialDelayNanos;
   private final Supplier<Identities> identify;
-  private final Set<String> perhapsEnded = ConcurrentHashMap.newKeySet();
+  private final Set<String> unconfirmedCrashes = ConcurrentHashMap.newKeySet();
   private volatile @Nullable Identities identities;
-  private volatile @Nullable Long trialSinceNanos;
+  private volatile @Nullable Long trialPendingSinceNanos;
 
   /**
-   * What a request is.
+   * The identities under which a request is judged.
    *
-   * @param content what it asks for
-   * @param ofCaller the same, of this caller
+   * @param content identity of the content
+   * @param callerSpecific identity of the content together with the caller
    */
-  public record Identities(RequestIdentity content, RequestIdentity ofCaller) {
-    /** What it asks for, by itself and of one caller. */
+  public record Identities(RequestIdentity content, RequestIdentity callerSpecific) {
+    /** Returns the identities of a content sent by a caller. */
     public static Identities of(RequestIdentity content, String caller) {
       return new Identities(content, content.forCaller(caller));
     }
 
     List<RequestIdentity> both() {
-      return List.of(content, ofCaller);
+      return List.of(content, callerSpecific);
     }
   }
 
   /**
-   * Creates one for a request.
+   * Creates the state of a request.
    *
-   * @param trialNoticeNanos how long a suspect waits for news of other instances' trials before it
-   *     goes to a server itself; 0 where requests cannot wait
-   * @param identify tells what the request is; called when that matters, perhaps never
+   * @param trialDelayNanos how long a suspect request waits for reports of other instances' trials
+   *     before its own trial; 0 where requests cannot wait
+   * @param identify computes the identities; called only if they are needed
    */
   public RequestCrashes(
-      CrashWatch watch, Clocks clocks, long trialNoticeNanos, Supplier<Identities> identify) {
+      CrashWatch watch, Clocks clocks, long trialDelayNanos, Supplier<Identities> identify) {
     this.watch = watch;
     this.clocks = clocks;
-    this.trialNoticeNanos = trialNoticeNanos;
+    this.trialDelayNanos = trialDelayNanos;
     this.identify = identify;
   }
 
-  /** What the request is. */
+  /** Returns the identities of the request. */
   public Identities identities() {
     Identities known = identities;
     if (known == null) {
@@ -76,9 +76,9 @@
     return known;
   }
 
-  /** What may be done with the request now. */
+  /** Returns what may be done with the request now. */
   public Verdict verdict() {
-    if (watch.quiet()) {
+    if (watch.isEmpty()) {
       return Verdict.ALLOWED;
     }
     Verdict verdict =
@@ -86,53 +86,57 @@
             .map(watch::verdict)
             .max(Comparator.naturalOrder())
             .orElse(Verdict.ALLOWED);
-    return verdict == Verdict.TRIAL && !noticed() ? Verdict.WAIT : verdict;
+    return verdict == Verdict.TRIAL && !trialDelayElapsed() ? Verdict.WAIT : verdict;
   }
 
   /**
-   * Whether there was time to hear of trials that began elsewhere. A caller that comes back at once
-   * reaches the next instance sooner than the news of its last try, and each instance would risk a
-   * server of its own.
+   * Returns whether there was enough time to receive reports of trials that began elsewhere. A
+   * caller that retries at once reaches the next instance before the report of its previous trial
+   * does, and each instance would risk a server of its own.
    */
-  private boolean noticed() {
+  private boolean trialDelayElapsed() {
     long now = clocks.nanos();
-    Long since = trialSinceNanos;
+    Long since = trialPendingSinceNanos;
     if (since == null) {
       since = now;
-      trialSinceNanos = since;
+      trialPendingSinceNanos = since;
     }
-    return now - since >= trialNoticeNanos;
+    return now - since >= trialDelayNanos;
   }
 
-  /** Asked right before the request is written; a trial that is granted is told to all. */
+  /**
+   * Returns the verdict right before the request is written; a trial that is granted is reported to
+   * all instances.
+   */
   public Verdict admit() {
     Verdict verdict = verdict();
     if (verdict == Verdict.TRIAL) {
       identities().both().stream()
           .filter(identity -> watch.verdict(identity) == Verdict.TRIAL)
-          .forEach(watch::tried);
+          .forEach(watch::recordTrial);
     }
     return verdict;
   }
 
   /**
-   * Whether sends of the request that are under way should be stopped. Many callers may ask for the
-   * same at a time, and an answer to one of them clears it; so what is only suspect is stopped for
-   * one caller alone.
+   * Returns whether the attempts in progress must be cancelled. Many callers may send the same
+   * content at a time, and an answer to one of them clears it; a request that is only suspect is
+   * therefore cancelled only if it is suspect together with its caller.
    *
-   * @param trial whether one of them is the trial that shows whether it is the cause
+   * @param trial whether one of the attempts is the trial that shows whether the request is the
+   *     cause
    */
-  public boolean stopsSends(boolean trial) {
-    if (watch.quiet()) {
+  public boolean mustCancelAttempts(boolean trial) {
+    if (watch.isEmpty()) {
       return false;
     }
     CrashTable table = watch.table();
     boolean confirmed = identities().both().stream().anyMatch(table::confirmed);
-    boolean suspect = table.suspicionLevel(identities().ofCaller()) == SuspicionLevel.SUSPECT;
+    boolean suspect = table.suspicionLevel(identities().callerSpecific()) == SuspicionLevel.SUSPECT;
     return confirmed || (suspect && !trial);
   }
 
-  /** Time after which a caller that is turned away may find the request let through. */
+  /** Returns the time after which the request of a rejected caller may be admitted. */
   public long retryAfterNanos() {
     CrashTable table = watch.table();
     long now = clocks.nanos();
@@ -143,56 +147,61 @@
   }
 
   /**
-   * A connection to a server ended under the request; whether the server did is being looked at.
+   * Records that a connection to a server ended while it served the request; a connect check
+   * follows, which shows whether the server crashed.
    */
-  public void perhapsEnded(String server) {
-    perhapsEnded.add(server);
+  public void mayHaveCrashed(String server) {
+    unconfirmedCrashes.add(server);
   }
 
   /**
-   * It has been looked at.
+   * Records the result of the connect check.
    *
-   * @param warned whether the request was known for suspect when it was sent
+   * @param crashed whether the server crashed
+   * @param warned whether the request was known as suspect when it was sent
    */
-  public void lookedAt(String server, boolean ended, boolean warned) {
-    perhapsEnded.remove(server);
-    if (ended) {
-      watch.ended(identities().both(), server, warned);
+  public void recordConnectCheck(String server, boolean crashed, boolean warned) {
+    unconfirmedCrashes.remove(server);
+    if (crashed) {
+      watch.recordCrash(identities().both(), server, warned);
     }
   }
 
   /**
-   * A server has run the request and answered.
+   * Records that a server has answered the request.
    *
-   * @param sentNanos when it was sent there
+   * @param sentNanos when the request was sent to the server
    */
-  public void answered(String server, long sentNanos) {
-    if (!watch.quiet()) {
-      watch.answered(identities().both(), server, sentNanos);
+  public void recordAnswer(String server, long sentNanos) {
+    if (!watch.isEmpty()) {
+      watch.recordAnswer(identities().both(), server, sentNanos);
     }
   }
 
-  /** Whether a further send of this try may follow one that broke or brought a failure. */
-  public boolean mayRepeat() {
-    return suspectedEnds() < ENDS_WITHOUT_REPEAT;
+  /** Returns whether a further attempt may follow one that broke or returned a failure. */
+  public boolean mayRetry() {
+    return suspectedCrashes() < CRASHES_WITHOUT_RETRY;
   }
 
   /**
-   * Whether a second server may get the request while a first one has it. Once a server has ended
-   * under it, that would put two at risk at a time.
+   * Returns whether a second server may get the request while a first one has it. Once a server may
+   * have crashed while serving it, this would put two servers at risk at a time.
    */
   public boolean mayHedge() {
-    return suspectedEnds() == 0;
+    return suspectedCrashes() == 0;
   }
 
-  /** Servers that ended under the request, and those of this try that perhaps did. */
-  private int suspectedEnds() {
-    Set<String> all = new HashSet<>(perhapsEnded);
-    if (!watch.quiet()) {
+  /**
+   * Counts the servers that crashed while serving the request, including those whose connect check
+   * is pending.
+   */
+  private int suspectedCrashes() {
+    Set<String> servers = new HashSet<>(unconfirmedCrashes);
+    if (!watch.isEmpty()) {
       identities()
           .both()
-          .forEach(identity -> all.addAll(watch.table().serversCrashedDuring(identity)));
+          .forEach(identity -> servers.addAll(watch.table().serversCrashedDuring(identity)));
     }
-    return all.size();
+    return servers.size();
   }
 }
--- a/core/src/main/java/org/magnoliaswitch/core/request/OutcomeQuery.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/OutcomeQuery.java
@@ -7,61 +7,66 @@
 import org.magnoliaswitch.core.process.KeyOutcome;
 import org.magnoliaswitch.core.process.OutcomeRecords;
 
-/** Answers what became of a key, from any instance. */
+/** Looks up the outcome of an idempotency key; works on every instance. */
 public final class OutcomeQuery {
   private static final int NOT_FOUND = 404;
   private static final int RETRY_AFTER_SECONDS = 1;
 
-  private final OnceGate.Parts parts;
+  private final AtMostOnceExecutor.Dependencies dependencies;
 
-  public OutcomeQuery(OnceGate.Parts parts) {
-    this.parts = parts;
+  public OutcomeQuery(AtMostOnceExecutor.Dependencies dependencies) {
+    this.dependencies = dependencies;
   }
 
-  /** Whom to ask about a key. */
+  /** Result of a lookup. */
   public sealed interface Answer {
-    /** The outcome as told here. */
-    record Told(Reply reply) implements Answer {}
+    /** The outcome is answered by this instance. */
+    record Resolved(Reply reply) implements Answer {}
 
-    /** Another live instance holds the key. */
-    record Ask(Member holder) implements Answer {}
+    /** Another live instance holds the key and must be asked. */
+    record AskHolder(Member holder) implements Answer {}
   }
 
-  /** Looks a key up. */
-  public Answer ask(String service, String key, boolean passedOn) {
-    String scoped = service + '/' + key;
-    Optional<KeyOutcome> here = parts.ledger().outcome(scoped);
-    if (here.isPresent()) {
-      return new Answer.Told(OnceGate.replay(here.get()));
+  /** Looks up a key. A request that another instance forwarded is answered here in any case. */
+  public Answer lookup(String service, String key, boolean forwarded) {
+    String scopedKey = service + '/' + key;
+    Optional<KeyOutcome> localOutcome = dependencies.ledger().outcome(scopedKey);
+    if (localOutcome.isPresent()) {
+      return new Answer.Resolved(AtMostOnceExecutor.replay(localOutcome.get()));
     }
-    Optional<String> holder = parts.issuer().parse(key).map(KeyIssuer.IssuedKey::incarnation);
+    Optional<String> holder =
+        dependencies.issuer().parse(key).map(KeyIssuer.IssuedKey::incarnation);
     if (holder.isEmpty()) {
-      holder = parts.claims().holder(scoped);
+      holder = dependencies.claims().holder(scopedKey);
     }
-    if (holder.isEmpty() || holder.get().equals(parts.membership().self().incarnation())) {
-      return none();
+    if (holder.isEmpty() || holder.get().equals(dependencies.membership().self().incarnation())) {
+      return unknown();
     }
-    Optional<Member> member = parts.membership().live(holder.get());
-    return member.isPresent() && !passedOn
-        ? new Answer.Ask(member.get())
-        : fromRecords(holder.get(), scoped);
+    Optional<Member> member = dependencies.membership().live(holder.get());
+    return member.isPresent() && !forwarded
+        ? new Answer.AskHolder(member.get())
+        : answerFromRecords(holder.get(), scopedKey);
   }
 
-  private Answer fromRecords(String holder, String scoped) {
+  private Answer answerFromRecords(String holder, String scopedKey) {
     try {
-      OutcomeRecords.Lookup lookup = parts.records().lookup(holder, scoped);
+      OutcomeRecords.Lookup lookup = dependencies.records().lookup(holder, scopedKey);
       return lookup
           .finished()
-          .<Answer>map(f -> new Answer.Told(OnceGate.replay(f.outcome())))
-          .orElseGet(OutcomeQuery::none);
+          .<Answer>map(
+              finished -> new Answer.Resolved(AtMostOnceExecutor.replay(finished.outcome())))
+          .orElseGet(OutcomeQuery::unknown);
     } catch (PlatformException e) {
-      return none();
+      return unknown();
     }
   }
 
-  /** Nothing is known, which proves nothing: a request may still be on its way. */
-  private static Answer none() {
-    return new Answer.Told(
-        Reply.own(NOT_FOUND, Outcome.UNKNOWN, "no outcome is on record", RETRY_AFTER_SECONDS));
+  /**
+   * Answers that no outcome is known. This does not prove that the request is never executed, since
+   * it may still be on its way.
+   */
+  private static Answer unknown() {
+    return new Answer.Resolved(
+        Reply.local(NOT_FOUND, Outcome.UNKNOWN, "no outcome is on record", RETRY_AFTER_SECONDS));
   }
 }
--- a/core/src/test/java/org/magnoliaswitch/core/operator/PropagationTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/operator/PropagationTest.java
@@ -18,7 +18,7 @@
 import org.magnoliaswitch.core.clock.Clocks;
 import org.magnoliaswitch.core.crash.RequestIdentity;
 import org.magnoliaswitch.core.peer.Address;
-import org.magnoliaswitch.core.peer.LeavingMark;
+import org.magnoliaswitch.core.peer.LeavingNotice;
 import org.magnoliaswitch.core.peer.PeerSecret;
 import org.magnoliaswitch.core.process.ControlPlane;
 import org.magnoliaswitch.core.process.GossipSettings;
@@ -100,8 +100,8 @@
     start(4);
     platform.setUnavailable(true);
     await(() -> instances.stream().allMatch(i -> i.state().membership().size() == 4));
-    instances.getFirst().state().leaving().noticed("server-1", LeavingMark.Sign.OPERATOR);
-    instances.getFirst().gossip().pushNews();
+    instances.getFirst().state().leaving().markLeaving("server-1", LeavingNotice.Source.OPERATOR);
+    instances.getFirst().gossip().pushUpdate();
     await(() -> instances.stream().allMatch(i -> i.state().leaving().leaving("server-1")));
   }
 
@@ -117,7 +117,7 @@
     platform.setUnavailable(true);
     await(() -> instances.stream().allMatch(i -> i.state().membership().size() == 4));
     for (int i = 0; i < 3; i++) {
-      instances.get(i).state().crashes().ended(List.of(request), "server-" + i, i == 2);
+      instances.get(i).state().crashes().recordCrash(List.of(request), "server-" + i, i == 2);
     }
     await(() -> instances.stream().allMatch(i -> confirmed(i, request)));
     start(1);
--- a/core/src/test/java/org/magnoliaswitch/core/process/LeavingServersTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/LeavingServersTest.java
@@ -5,13 +5,13 @@
 import static org.testng.Assert.assertTrue;
 
 import java.time.Duration;
-import org.magnoliaswitch.core.peer.LeavingMark;
-import org.magnoliaswitch.core.peer.LeavingMark.Sign;
+import org.magnoliaswitch.core.peer.LeavingNotice;
+import org.magnoliaswitch.core.peer.LeavingNotice.Source;
 import org.magnoliaswitch.core.testing.ManualClock;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Signs that a backend server leaves. */
+/** Tests the signs that a backend server is leaving. */
 public final class LeavingServersTest {
   private ManualClock time = new ManualClock();
   private LeavingServers leaving = new LeavingServers(time.clocks());
@@ -23,18 +23,19 @@
   }
 
   @Test
-  public void theFirstSignIsNews() {
-    assertTrue(leaving.noticed("a", Sign.REPORT));
-    assertFalse(leaving.noticed("a", Sign.REPORT));
+  public void onlyTheFirstSignIsPublished() {
+    assertTrue(leaving.markLeaving("a", Source.REPORT));
+    assertFalse(leaving.markLeaving("a", Source.REPORT));
   }
 
   /**
-   * Two instances tell each other of a departure for ever. If each told it anew, a server that came
-   * back would never get work again; so only the first time of notice counts.
+   * Two instances keep sending each other the mark of a leaving server. If each of them renewed it,
+   * a server that returned would never get requests again; so only the time of the first-hand sign
+   * counts.
    */
   @Test
   public void peersCannotKeepAMarkAlive() {
-    LeavingMark mark = new LeavingMark("b", Sign.REPORT, time.millis(), true);
+    LeavingNotice mark = new LeavingNotice("b", Source.REPORT, time.millis(), true);
     for (int i = 0; i < 40; i++) {
       leaving.merge(mark);
       time.advance(Duration.ofSeconds(1));
@@ -43,37 +44,37 @@
   }
 
   /**
-   * A server is replaced in a few seconds and comes back. Marks that only ran out kept five of
-   * eight servers without work in the drain experiment, and callers were refused.
+   * A server is replaced within a few seconds and returns. If marks only expired, five of eight
+   * servers would get no requests during a rolling replacement, and callers would be rejected.
    */
   @Test
-  public void aServerThatComesBackGetsWorkAgain() {
-    leaving.noticed("c", Sign.REPORT);
+  public void aServerThatReturnsGetsRequestsAgain() {
+    leaving.markLeaving("c", Source.REPORT);
     time.advance(Duration.ofSeconds(1));
-    assertTrue(leaving.returned("c", Sign.REPORT));
+    assertTrue(leaving.markReturned("c", Source.REPORT));
     assertFalse(leaving.leaving("c"));
   }
 
   @Test
-  public void theServersOwnWordDoesNotUndoTheList() {
-    leaving.noticed("d", Sign.LIST);
+  public void theServersOwnReportDoesNotOverrideTheList() {
+    leaving.markLeaving("d", Source.LIST);
     time.advance(Duration.ofSeconds(1));
-    leaving.returned("d", Sign.REPORT);
+    leaving.markReturned("d", Source.REPORT);
     assertTrue(leaving.leaving("d"));
   }
 
-  /** Old news of a departure arrives after news of the return. */
+  /** An old mark that the server is leaving arrives after the mark of its return. */
   @Test
-  public void laterNewsWinsWhateverTheOrder() {
-    leaving.merge(new LeavingMark("e", Sign.REPORT, time.millis() + 5, false));
-    leaving.merge(new LeavingMark("e", Sign.REPORT, time.millis(), true));
+  public void theLatestMarkWinsInAnyOrder() {
+    leaving.merge(new LeavingNotice("e", Source.REPORT, time.millis() + 5, false));
+    leaving.merge(new LeavingNotice("e", Source.REPORT, time.millis(), true));
     assertFalse(leaving.leaving("e"));
   }
 
   @Test
-  public void spreadsABoundedNumberOfMarks() {
+  public void limitsTheMarksPerMessage() {
     for (int i = 0; i < 100; i++) {
-      leaving.noticed("server-" + i, Sign.LIST);
+      leaving.markLeaving("server-" + i, Source.LIST);
     }
     assertEquals(leaving.recent().size(), 12);
   }
--- a/core/src/test/java/org/magnoliaswitch/core/process/ProberTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/process/ProberTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The bound on probes over all instances. */
+/** Tests the bound on the probes of all instances together. */
 public final class ProberTest {
   @DataProvider
   public static Object[][] instances() {
@@ -23,12 +23,12 @@
   }
 
   /**
-   * Instances know only as many of the others as the second number says, since the list is frozen
-   * or out, and each asks for a probe at every chance. The budget must hold in every window all the
-   * same, which it does as the declared bound on instances alone sets the pace.
+   * Instances know only as many instances as the second number says, since the list is frozen or
+   * unavailable, and each requests a probe at every opportunity. The budget must still hold in
+   * every window, because the declared maximum number of instances bounds the rate of each.
    */
   @Test(dataProvider = "instances")
-  public void staysWithinBudgetWhateverInstancesKnow(int alive, int known) {
+  public void staysWithinBudgetWhateverTheKnownInstances(int alive, int known) {
     ProbeBudget budget = new ProbeBudget(5, 40);
     ManualClock time = new ManualClock();
     List<ServerLoad> loads = new ArrayList<>();
@@ -40,20 +40,20 @@
     for (int step = 0; step < 4_000; step++) {
       time.advance(Duration.ofMillis(random.nextInt(20)));
       ServerLoad load = loads.get(random.nextInt(alive));
-      if (load.claimProbe(time.read(), Prober.windowNanos(budget, known))) {
+      if (load.tryClaimProbe(time.read(), Prober.windowNanos(budget, known))) {
         probes.add(time.read());
       }
     }
     long window = Duration.ofMillis(budget.minIntervalMillis()).toNanos();
     double allowed = budget.probesPerSecond() * budget.minIntervalMillis() / 1_000.0;
     for (long start : probes) {
-      long inside = probes.stream().filter(p -> p >= start && p < start + window).count();
-      assertTrue(inside <= allowed, inside + " probes, allowed " + allowed);
+      long probesInWindow = probes.stream().filter(p -> p >= start && p < start + window).count();
+      assertTrue(probesInWindow <= allowed, probesInWindow + " probes, allowed " + allowed);
     }
   }
 
   @Test
-  public void moreInstancesThanDeclaredSlowEachOneDown() {
+  public void moreInstancesThanDeclaredLengthenTheWindow() {
     ProbeBudget budget = new ProbeBudget(5, 40);
     assertEquals(Prober.windowNanos(budget, 80), 2 * Prober.windowNanos(budget, 40));
   }
--- a/front/src/test/java/org/magnoliaswitch/front/request/CrashingRequestTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/CrashingRequestTest.java
@@ -64,7 +64,7 @@
 
     private boolean handle(int index, ScriptedServer.Received request) throws IOException {
       if (!request.line().contains("/crash")) {
-        return request.answer(200, "ok");
+        return request.respond(200, "ok");
       }
       crashes.incrementAndGet();
       all.get(index).close();
@@ -90,7 +90,7 @@
       ScriptedServer[] all = servers.all.toArray(new ScriptedServer[0]);
       List<RunningFront> fronts = RunningFront.group(INSTANCES, TIMEOUT_MILLIS, all);
       for (int i = 0; i < REQUESTS; i++) {
-        fronts.get(i % INSTANCES).ask("GET", CRASHING_PATH, TIMEOUT_MILLIS);
+        fronts.get(i % INSTANCES).request("GET", CRASHING_PATH, TIMEOUT_MILLIS);
       }
       int crashes = servers.crashes.get();
       assertTrue(
@@ -114,7 +114,7 @@
       List<RunningFront> fronts = RunningFront.group(INSTANCES, TIMEOUT_MILLIS, all);
       for (int i = 0; i < REQUESTS; i++) {
         String address = "127.0.0." + (10 + i);
-        fronts.get(i % INSTANCES).askFrom(address, "GET", CRASHING_PATH, TIMEOUT_MILLIS);
+        fronts.get(i % INSTANCES).requestFrom(address, "GET", CRASHING_PATH, TIMEOUT_MILLIS);
       }
       int crashes = servers.crashes.get();
       assertTrue(
@@ -138,7 +138,7 @@
       List<String> statuses = new ArrayList<>();
       for (int i = 0; i < REQUESTS; i++) {
         int before = servers.crashes.get();
-        String response = fronts.get(i % INSTANCES).ask("POST", "/once/crash", TIMEOUT_MILLIS);
+        String response = fronts.get(i % INSTANCES).request("POST", "/once/crash", TIMEOUT_MILLIS);
         String status = response.substring("HTTP/1.1 ".length()).substring(0, 3);
         statuses.add(status);
         assertEquals(status, servers.crashes.get() > before ? "502" : "503");
@@ -147,7 +147,7 @@
       assertTrue(
           servers.crashes.get() <= CRASHES_TO_IDENTIFY + ALLOWED_FURTHER_CRASHES,
           statuses.toString());
-      assertTrue(fronts.getFirst().ask("GET", "/safe/ok", TIMEOUT_MILLIS).contains("200"));
+      assertTrue(fronts.getFirst().request("GET", "/safe/ok", TIMEOUT_MILLIS).contains("200"));
       for (RunningFront front : fronts) {
         front.stop(() -> {});
       }
@@ -193,11 +193,11 @@
 
       boolean handle(ScriptedServer.Received request) throws IOException, InterruptedException {
         if (request.line().contains("/health")) {
-          return request.answer(200, "");
+          return request.respond(200, "");
         }
         arrived.release();
         released.await();
-        return request.answer(200, "ok");
+        return request.respond(200, "ok");
       }
     }
 
@@ -222,7 +222,7 @@
         CompletableFuture<CallerResponse> response =
             dispatch(environment, new FrontDispatcher(environment));
         holding.arrived.acquire();
-        environment.crashes().heard(TWO_CRASHES, CrashWatch.Source.PEER);
+        environment.crashes().receive(TWO_CRASHES, CrashWatch.Source.PEER);
         holding.released.countDown();
         assertEquals(response.join().status().code(), 200);
         assertEquals(environment.crashes().table().serversCrashedDuring(IDENTITY), Set.of());
@@ -246,7 +246,7 @@
             List.of(
                 new CrashReport.Crashed(OF_CALLER, "x@0", false),
                 new CrashReport.Crashed(OF_CALLER, "y@0", false));
-        environment.crashes().heard(twoCrashes, CrashWatch.Source.PEER);
+        environment.crashes().receive(twoCrashes, CrashWatch.Source.PEER);
         assertEquals(response.join().status().code(), 502);
         holding.released.countDown();
         environment.loop().stop();
@@ -265,8 +265,8 @@
         CompletableFuture<CallerResponse> response =
             dispatch(environment, new FrontDispatcher(environment));
         holding.arrived.acquire();
-        environment.crashes().heard(TWO_CRASHES, CrashWatch.Source.PEER);
-        environment.crashes().heard(TRIAL_CRASHED, CrashWatch.Source.PEER);
+        environment.crashes().receive(TWO_CRASHES, CrashWatch.Source.PEER);
+        environment.crashes().receive(TRIAL_CRASHED, CrashWatch.Source.PEER);
         holding.released.countDown();
         assertEquals(response.join().status().code(), 200);
         environment.loop().stop();
@@ -283,7 +283,7 @@
       try (ScriptedServer a = new ScriptedServer("a", holding::handle);
           ScriptedServer b = new ScriptedServer("b", holding::handle)) {
         Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, a, b);
-        environment.crashes().heard(TWO_CRASHES, CrashWatch.Source.PEER);
+        environment.crashes().receive(TWO_CRASHES, CrashWatch.Source.PEER);
         FrontDispatcher handler = new FrontDispatcher(environment);
         CompletableFuture<CallerResponse> first = dispatch(environment, handler);
         holding.arrived.acquire();
@@ -306,13 +306,13 @@
       HoldingServer holding = new HoldingServer();
       try (ScriptedServer server = new ScriptedServer("a", holding::handle)) {
         Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, server);
-        environment.crashes().heard(TWO_CRASHES, CrashWatch.Source.PEER);
+        environment.crashes().receive(TWO_CRASHES, CrashWatch.Source.PEER);
         environment
             .crashes()
-            .heard(List.of(new CrashReport.TrialStarted(IDENTITY, 1)), CrashWatch.Source.PEER);
+            .receive(List.of(new CrashReport.TrialStarted(IDENTITY, 1)), CrashWatch.Source.PEER);
         CompletableFuture<CallerResponse> response =
             dispatch(environment, new FrontDispatcher(environment));
-        environment.crashes().heard(TRIAL_CRASHED, CrashWatch.Source.PEER);
+        environment.crashes().receive(TRIAL_CRASHED, CrashWatch.Source.PEER);
         assertEquals(response.join().status().code(), 503);
         assertTrue(Double.parseDouble(response.join().headers().get("retry-after")) > 3_000);
         assertEquals(server.received().size(), 0);
@@ -327,7 +327,8 @@
     @Test
     public void aConnectionResetIsNotACrash() throws IOException {
       ScriptedServer.Script resets =
-          request -> request.line().contains("/health") ? request.answer(200, "") : request.reset();
+          request ->
+              request.line().contains("/health") ? request.respond(200, "") : request.reset();
       try (ScriptedServer server = new ScriptedServer("a", resets)) {
         Environment environment = TestEnvironment.with(IDEMPOTENT_ROUTE, server);
         FrontDispatcher handler = new FrontDispatcher(environment);
@@ -335,7 +336,7 @@
           assertEquals(dispatch(environment, handler).join().status().code(), 502);
         }
         assertEquals(server.received().size(), 5);
-        assertTrue(environment.crashes().quiet());
+        assertTrue(environment.crashes().isEmpty());
         environment.loop().stop();
       }
     }
