--- a/entry/src/main/java/org/magnoliaswitch/entry/BearerFilter.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/BearerFilter.java
@@ -8,25 +8,27 @@
 import java.security.MessageDigest;
 import java.util.Set;
 
-/** Lets only operators with the bearer token through, but for health, readiness and metrics. */
+/** Requires the bearer token of operators on all paths except health, readiness and metrics. */
 final class BearerFilter implements ContainerRequestFilter {
-  private static final Set<String> OPEN_PATHS = Set.of("health", "ready", "metrics");
+  private static final Set<String> PUBLIC_PATHS = Set.of("health", "ready", "metrics");
 
-  private final byte[] expected;
+  private final byte[] expectedHeader;
 
   BearerFilter(String token) {
-    this.expected = ("Bearer " + token).getBytes(StandardCharsets.UTF_8);
+    this.expectedHeader = ("Bearer " + token).getBytes(StandardCharsets.UTF_8);
   }
 
   @Override
   public void filter(ContainerRequestContext context) {
-    if (OPEN_PATHS.contains(context.getUriInfo().getPath())) {
+    if (PUBLIC_PATHS.contains(context.getUriInfo().getPath())) {
       return;
     }
-    String given = context.getHeaderString(HttpHeaders.AUTHORIZATION);
-    boolean right =
-        given != null && MessageDigest.isEqual(given.getBytes(StandardCharsets.UTF_8), expected);
-    if (!right) {
+    String authorization = context.getHeaderString(HttpHeaders.AUTHORIZATION);
+    boolean authorized =
+        authorization != null
+            && MessageDigest.isEqual(
+                authorization.getBytes(StandardCharsets.UTF_8), expectedHeader);
+    if (!authorized) {
       context.abortWith(
           Response.status(Response.Status.UNAUTHORIZED)
               .header(HttpHeaders.WWW_AUTHENTICATE, "Bearer")
--- a/entry/src/main/java/org/magnoliaswitch/entry/CallerHandler.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/CallerHandler.java
@@ -24,24 +24,28 @@
 import org.magnoliaswitch.core.request.Reply;
 import org.magnoliaswitch.core.request.RequestService;
 
-/** Reads a caller's request, has it served and writes the reply. */
+/** Reads the request of a caller, passes it to the {@link RequestService} and writes the reply. */
 final class CallerHandler extends Handler.Abstract {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-  private static final int COPY_BYTES = 16 * 1024;
+  private static final int COPY_BUFFER_BYTES = 16 * 1024;
   private static final int BAD_REQUEST = 400;
 
   private static final int UNAVAILABLE = 503;
 
-  /** Heap that a request in flight takes at most, buffers of both its connections included. */
+  /**
+   * Maximum heap used by a request in flight, including the buffers of its two connections (to the
+   * caller and to the backend server).
+   */
   private static final long REQUEST_BYTES = 160 * 1024;
 
   /**
-   * Requests served at once. Without a bound an instance that falls behind collects requests until
-   * its heap is full and it answers nobody; found by the overhead experiment on a cold instance.
+   * Maximum number of requests in flight. Without this limit, an instance that is slower than its
+   * load, for instance just after its start, accumulates requests until its heap is full and it
+   * answers none of them.
    */
   private static final long MAX_IN_FLIGHT = Runtime.getRuntime().maxMemory() / REQUEST_BYTES;
 
-  /** A key that the caller may use for its next request. */
+  /** Header of a response with a key that the caller may use for its next request. */
   private static final String ISSUED_KEY = "Issued-Idempotency-Key";
 
   private final boolean balancerResends;
@@ -63,15 +67,15 @@
     this.keys = new KeyEndpoints(control, requests, this::ready);
   }
 
-  void countWith(EntryMetrics counting) {
-    metrics = counting;
+  void setMetrics(EntryMetrics newMetrics) {
+    metrics = newMetrics;
   }
 
   int inFlight() {
     return inFlight.get();
   }
 
-  void unready() {
+  void markNotReady() {
     ready = false;
   }
 
@@ -79,8 +83,11 @@
     return ready && control.ready();
   }
 
-  /** Completes when no request is in flight; call it once, when no more are accepted. */
-  CompletableFuture<Void> idle() {
+  /**
+   * Returns a future that completes when no request is in flight. It may be called only once, after
+   * the listener has stopped accepting connections.
+   */
+  CompletableFuture<Void> whenIdle() {
     CompletableFuture<Void> future = new CompletableFuture<>();
     idle.set(future);
     if (inFlight.get() == 0) {
@@ -91,28 +98,29 @@
 
   @Override
   public boolean handle(Request request, Response response, Callback callback) {
-    boolean crowded = inFlight.incrementAndGet() > MAX_IN_FLIGHT;
-    long started = control.clocks().nanos();
+    boolean overloaded = inFlight.incrementAndGet() > MAX_IN_FLIGHT;
+    long startNanos = control.clocks().nanos();
     try {
-      Reply reply = crowded ? crowded(request) : serve(request);
+      Reply reply = overloaded ? rejectOverload(request) : serve(request);
       write(request, response, reply);
-      count(reply, started);
+      recordMetrics(reply, startNanos);
       callback.succeeded();
     } catch (IOException | RuntimeException e) {
-      // Failing the callback cuts the connection, so a cut answer cannot be taken for a whole one.
+      // Failing the callback aborts the connection, so that the caller cannot mistake a truncated
+      // response for a complete one.
       logger.atFine().withCause(e).log("event=answer_cut");
       callback.failed(e);
     } finally {
-      ended();
+      requestFinished();
     }
     return true;
   }
 
-  private void ended() {
+  private void requestFinished() {
     if (inFlight.decrementAndGet() == 0) {
-      CompletableFuture<Void> waiting = idle.get();
-      if (waiting != null) {
-        waiting.complete(null);
+      CompletableFuture<Void> future = idle.get();
+      if (future != null) {
+        future.complete(null);
       }
     }
   }
@@ -125,28 +133,33 @@
     try {
       RequestReader.Reading reading = reader.read(request);
       return switch (reading) {
-        case RequestReader.Reading.Usable usable -> served(usable.request());
-        case RequestReader.Reading.Refused refused -> refused.reply();
+        case RequestReader.Reading.Accepted accepted -> forward(accepted.request());
+        case RequestReader.Reading.Rejected rejected -> rejected.reply();
       };
     } catch (IOException e) {
       return Reply.local(BAD_REQUEST, Outcome.NOT_EXECUTED, "the request was cut short", 0);
     }
   }
 
-  /** Another copy of a keyed request may be at work elsewhere, when the balancer sends twice. */
-  private Reply crowded(Request request) {
-    boolean provable = !balancerResends || !request.getHeaders().contains("Idempotency-Key");
-    Outcome outcome = provable ? Outcome.NOT_EXECUTED : Outcome.UNKNOWN;
+  /**
+   * Rejects a request because too many are in flight. If the load balancer resends requests,
+   * another entry may be executing a copy of a request with a key, so its outcome is unknown.
+   */
+  private Reply rejectOverload(Request request) {
+    boolean provablyNotExecuted =
+        !balancerResends || !request.getHeaders().contains("Idempotency-Key");
+    Outcome outcome = provablyNotExecuted ? Outcome.NOT_EXECUTED : Outcome.UNKNOWN;
     return Reply.local(UNAVAILABLE, outcome, "too many requests at once", 1);
   }
 
-  private Reply served(InboundRequest inbound) {
+  private Reply forward(InboundRequest inbound) {
     Reply reply = requests.serve(inbound);
-    Reply named = reply.withField(new Field("X-Request-Id", inbound.id()));
-    // A stopping instance issues no keys: they would outlive the only one that may execute them.
+    Reply withRequestId = reply.withField(new Field("X-Request-Id", inbound.id()));
+    // Only the instance that issued a key may execute its request, so a stopping instance issues no
+    // keys: it may be gone before they are used.
     return inbound.idempotent() || !ready
-        ? named
-        : named.withField(new Field(ISSUED_KEY, control.issuer().issue()));
+        ? withRequestId
+        : withRequestId.withField(new Field(ISSUED_KEY, control.issuer().issue()));
   }
 
   private void write(Request request, Response response, Reply reply) throws IOException {
@@ -161,17 +174,17 @@
       fields.put(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE.asString());
     }
     switch (reply.body()) {
-      case Reply.Body.Buffered whole -> {
+      case Reply.Body.Buffered buffered -> {
         if (hasBody(request, reply)) {
-          fields.put(HttpHeader.CONTENT_LENGTH, whole.content().length);
+          fields.put(HttpHeader.CONTENT_LENGTH, buffered.content().length);
         }
-        Content.Sink.write(response, true, ByteBuffer.wrap(whole.content()));
+        Content.Sink.write(response, true, ByteBuffer.wrap(buffered.content()));
       }
       case Reply.Body.Streaming streaming -> copy(response, streaming);
     }
   }
 
-  /** Answers without a body have no length of one either (RFC 9110, section 8.6). */
+  /** Whether the response has a body and thus a Content-Length field (RFC 9110, section 8.6). */
   private static boolean hasBody(Request request, Reply reply) {
     return !request.getMethod().equals("HEAD")
         && reply.status() != HttpStatus.NO_CONTENT_204
@@ -182,23 +195,23 @@
     if (body.length() >= 0) {
       response.getHeaders().put(HttpHeader.CONTENT_LENGTH, body.length());
     }
-    boolean whole = false;
+    boolean complete = false;
     try (InputStream in = body.stream()) {
-      byte[] buffer = new byte[COPY_BYTES];
+      byte[] buffer = new byte[COPY_BUFFER_BYTES];
       for (int read = in.read(buffer); read >= 0; read = in.read(buffer)) {
         Content.Sink.write(response, false, ByteBuffer.wrap(buffer, 0, read));
       }
-      whole = true;
+      complete = true;
     } finally {
-      body.completion().completed(whole);
+      body.completion().completed(complete);
     }
     Content.Sink.write(response, true, ByteBuffer.allocate(0));
   }
 
-  private void count(Reply reply, long started) {
-    EntryMetrics counting = metrics;
-    if (counting != null) {
-      counting.answered(reply, control.clocks().nanos() - started);
+  private void recordMetrics(Reply reply, long startNanos) {
+    EntryMetrics currentMetrics = metrics;
+    if (currentMetrics != null) {
+      currentMetrics.recordReply(reply, control.clocks().nanos() - startNanos);
     }
   }
 }
--- a/entry/src/main/java/org/magnoliaswitch/entry/CallerListener.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/CallerListener.java
@@ -21,14 +21,14 @@
 import org.magnoliaswitch.core.process.ControlPlane;
 import org.magnoliaswitch.core.request.RequestService;
 
-/** The listener that callers reach: HTTP/1.1, each request on a virtual thread. */
+/** HTTP/1.1 listener for callers. Each request is served on its own virtual thread. */
 final class CallerListener {
   private static final int MAX_HEADER_BYTES = 16 * 1024;
   private static final int IDLE_MILLIS = 60_000;
   private static final int ACCEPT_QUEUE = 1_024;
   private static final int MAX_THREADS = 32;
 
-  /** Heap that an idle connection takes, with its buffers. */
+  /** Heap used by an idle connection, including its buffers. */
   private static final long CONNECTION_BYTES = 32 * 1024;
 
   private static final int MAX_CONNECTIONS =
@@ -45,14 +45,14 @@
     threads.setVirtualThreadsExecutor(Executors.newVirtualThreadPerTaskExecutor());
     this.server = new Server(threads);
     this.handler = new CallerHandler(settings, control, requests);
-    this.connector = connector(settings);
+    this.connector = createConnector(settings);
     server.addConnector(connector);
     server.addBean(new NetworkConnectionLimit(MAX_CONNECTIONS, server));
     server.setHandler(handler);
   }
 
-  void countWith(EntryMetrics metrics) {
-    handler.countWith(metrics);
+  void setMetrics(EntryMetrics metrics) {
+    handler.setMetrics(metrics);
   }
 
   void start() throws Exception {
@@ -63,53 +63,55 @@
     return handler.inFlight();
   }
 
-  /** From now on readiness fails and answers close their connections. */
-  void unready() {
-    handler.unready();
+  /** Fails the readiness check and closes each connection after its next response. */
+  void markNotReady() {
+    handler.markNotReady();
   }
 
   /**
-   * Accepts no more, waits for requests in flight and closes; false when the time was too short.
+   * Stops accepting connections, waits for requests in flight and closes the listener. Returns
+   * whether all requests ended within the limit and the listener closed without an error.
    */
   boolean stop(long limitMillis) {
-    boolean finished = false;
+    boolean completed = false;
     try {
       var unused = connector.shutdown();
-      handler.idle().get(limitMillis, TimeUnit.MILLISECONDS);
-      finished = true;
+      handler.whenIdle().get(limitMillis, TimeUnit.MILLISECONDS);
+      completed = true;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (ExecutionException | TimeoutException e) {
-      finished = false;
+      completed = false;
     }
     try {
       server.stop();
     } catch (Exception e) {
-      // The process ends in any case; all answers were given or the limit was reached.
+      // The process exits anyway: all responses have been sent or the limit has been reached.
       return false;
     }
-    return finished;
+    return completed;
   }
 
-  private ServerConnector connector(EntrySettings settings) throws IOException {
-    HttpConfiguration http = new HttpConfiguration();
-    http.setRequestHeaderSize(MAX_HEADER_BYTES);
-    http.setResponseHeaderSize(MAX_HEADER_BYTES);
-    http.setSendServerVersion(false);
-    http.setSendDateHeader(false);
-    http.setHttpCompliance(HttpCompliance.RFC9110);
-    // The header cache is a table of 98 KB per connection: 1,900 connections filled a heap of 256
-    // MB.
-    http.setHeaderCacheSize(0);
-    HttpConnectionFactory plain = new HttpConnectionFactory(http);
+  private ServerConnector createConnector(EntrySettings settings) throws IOException {
+    HttpConfiguration configuration = new HttpConfiguration();
+    configuration.setRequestHeaderSize(MAX_HEADER_BYTES);
+    configuration.setResponseHeaderSize(MAX_HEADER_BYTES);
+    configuration.setSendServerVersion(false);
+    configuration.setSendDateHeader(false);
+    configuration.setHttpCompliance(HttpCompliance.RFC9110);
+    // The header cache takes 98 KB per connection: 1,900 connections filled a heap of 256 MB.
+    configuration.setHeaderCacheSize(0);
+    HttpConnectionFactory httpFactory = new HttpConnectionFactory(configuration);
     ServerConnector listener;
     if (settings.tls().isPresent()) {
-      http.addCustomizer(new SecureRequestCustomizer(false));
+      configuration.addCustomizer(new SecureRequestCustomizer(false));
       listener =
           new ServerConnector(
-              server, new SslConnectionFactory(tls(settings.tls().get()), "http/1.1"), plain);
+              server,
+              new SslConnectionFactory(sslContextFactory(settings.tls().get()), "http/1.1"),
+              httpFactory);
     } else {
-      listener = new ServerConnector(server, 1, 2, plain);
+      listener = new ServerConnector(server, 1, 2, httpFactory);
     }
     listener.setHost(settings.host());
     listener.setPort(settings.callerPort());
@@ -118,7 +120,8 @@
     return listener;
   }
 
-  private static SslContextFactory.Server tls(EntrySettings.Tls tls) throws IOException {
+  private static SslContextFactory.Server sslContextFactory(EntrySettings.Tls tls)
+      throws IOException {
     SslContextFactory.Server factory = new SslContextFactory.Server();
     factory.setKeyStorePath(tls.keyStore());
     factory.setKeyStoreType("PKCS12");
--- a/entry/src/main/java/org/magnoliaswitch/entry/ConfigurationResource.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/ConfigurationResource.java
@@ -19,7 +19,7 @@
 import org.magnoliaswitch.core.process.ConfigurationStore;
 import org.magnoliaswitch.core.process.ControlPlane;
 
-/** Operators' access to the configuration. */
+/** HTTP API for operators to read and change the configuration. */
 @Path("configuration")
 @Produces(MediaType.APPLICATION_JSON)
 public final class ConfigurationResource {
@@ -34,7 +34,7 @@
     this.changes = new ChangeService(control);
   }
 
-  /** The version in force here, with all its declarations. */
+  /** Returns the version in force at this instance, with all its declarations. */
   @GET
   public VersionView inForce() throws IOException {
     String digest = control.state().version().get().digest();
@@ -43,14 +43,14 @@
         : changes.loadHeld(digest);
   }
 
-  /** The latest accepted versions, newest first. */
+  /** Returns the latest accepted versions, newest first. */
   @GET
   @Path("history")
   public List<ConfigurationStore.Head> history() throws PlatformException {
     return control.store().history(HISTORY_LIMIT);
   }
 
-  /** An accepted version by its manifest's digest. */
+  /** Returns the accepted version whose manifest has this digest. */
   @GET
   @Path("manifests/{digest}")
   public VersionView accepted(@PathParam("digest") String digest)
@@ -58,7 +58,7 @@
     return changes.loadStored(digest);
   }
 
-  /** Asks for a change. */
+  /** Submits a change of the configuration. */
   @POST
   @Path("changes")
   @Consumes(MediaType.APPLICATION_JSON)
--- a/entry/src/main/java/org/magnoliaswitch/entry/EntryApplication.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/EntryApplication.java
@@ -10,7 +10,7 @@
 import org.magnoliaswitch.core.process.ControlPlane;
 import org.magnoliaswitch.core.request.RequestService;
 
-/** Starts and stops the listeners of an entry process. */
+/** Dropwizard application that starts the listeners of an entry and stops them in order. */
 public final class EntryApplication extends Application<EntryConfiguration> {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -31,7 +31,7 @@
         (type, validator, mapper, prefix) -> new FixedConfigurationFactory(settings));
   }
 
-  /** Logging is set up by the library's own configuration file. */
+  /** Does nothing, because the configuration file of the core library sets up logging. */
   @Override
   protected void bootstrapLogging() {
     logger.atFine().log("event=bootstrap");
@@ -44,7 +44,7 @@
     CallerListener callers =
         new CallerListener(settings, control, injector.getInstance(RequestService.class));
     EntryMetrics metrics = injector.getInstance(EntryMetrics.class);
-    callers.countWith(metrics);
+    callers.setMetrics(metrics);
     environment.jersey().register(injector.getInstance(BearerFilter.class));
     environment.jersey().register(injector.getInstance(OperatorResource.class));
     environment.jersey().register(injector.getInstance(ConfigurationResource.class));
@@ -52,7 +52,7 @@
     control.start();
     callers.start();
     GracefulStop stop = new GracefulStop(settings, control, callers);
-    environment.lifecycle().addServerLifecycleListener(server -> stopInOrder(server, stop));
+    environment.lifecycle().addServerLifecycleListener(server -> replaceShutdownHook(server, stop));
     logger.atInfo().log(
         "event=started instance=%s incarnation=%s callers=%s:%d",
         settings.instance(),
@@ -61,8 +61,10 @@
         settings.callerPort());
   }
 
-  /** The framework's own hook would stop the operators' listener first. */
-  private static void stopInOrder(Server server, GracefulStop stop) {
+  /**
+   * Replaces the shutdown hook of Dropwizard, which would stop the listener for operators first.
+   */
+  private static void replaceShutdownHook(Server server, GracefulStop stop) {
     server.setStopAtShutdown(false);
     Runtime.getRuntime().addShutdownHook(new Thread(stop::run, "graceful-stop"));
   }
--- a/entry/src/main/java/org/magnoliaswitch/entry/EntryConfiguration.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/EntryConfiguration.java
@@ -7,7 +7,7 @@
 import io.dropwizard.request.logging.LogbackAccessRequestLogFactory;
 import java.util.List;
 
-/** The framework's configuration, derived from {@link EntrySettings}. */
+/** Dropwizard configuration derived from {@link EntrySettings}. */
 public final class EntryConfiguration extends Configuration {
   private static final int OPERATOR_THREADS = 32;
 
@@ -31,7 +31,7 @@
     setServerFactory(server);
   }
 
-  /** The settings of the process. */
+  /** Returns the settings that this configuration is derived from. */
   public EntrySettings settings() {
     return settings;
   }
--- a/entry/src/main/java/org/magnoliaswitch/entry/EntryMain.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/EntryMain.java
@@ -12,16 +12,17 @@
 import org.magnoliaswitch.core.process.Version;
 import org.magnoliaswitch.core.version.InvalidDeclarationException;
 
-/** Command line of {@code magnolia-entry}. */
+/** Command line interface of {@code magnolia-entry}. */
 public final class EntryMain {
-  private static final int OK = 0;
-  private static final int FAILED = 1;
-  private static final int USAGE = 2;
+  private static final int EXIT_OK = 0;
+  private static final int EXIT_FAILURE = 1;
+  private static final int EXIT_USAGE = 2;
 
   private EntryMain() {}
 
   /**
-   * Starts an entry; exits with 2 for unusable arguments or settings and 1 when it cannot start.
+   * Starts an entry. Exits with 2 if the arguments or the settings are invalid, and with 1 if the
+   * entry cannot start.
    */
   public static void main(String[] arguments) throws IOException {
     OptionParser parser = new OptionParser();
@@ -36,17 +37,17 @@
     try {
       OptionSet options = parser.parse(arguments);
       if (options.has(help)) {
-        System.out.println("magnolia-entry: passes callers' requests to backend servers\n");
+        System.out.println("magnolia-entry: forwards requests from callers to backend servers\n");
         parser.printHelpOn(System.out);
       } else if (options.has(version)) {
         System.out.println("magnolia-entry " + Version.TEXT);
       } else if (!options.has(file)) {
-        exit(USAGE, "--settings is needed; see --help");
+        exit(EXIT_USAGE, "missing required option --settings; see --help");
       } else {
         start(Path.of(options.valueOf(file)), options.has(check));
       }
     } catch (OptionException e) {
-      exit(USAGE, e.getMessage() + "; see --help");
+      exit(EXIT_USAGE, e.getMessage() + "; see --help");
     }
   }
 
@@ -57,7 +58,7 @@
     }
     if (checkOnly) {
       System.out.println(file + ": ok");
-      System.exit(OK);
+      System.exit(EXIT_OK);
     }
     run(settings.get());
   }
@@ -66,9 +67,9 @@
     try {
       return Optional.of(EntrySettings.parse(file.toString(), Files.readAllBytes(file)));
     } catch (IOException e) {
-      exit(USAGE, "cannot read " + file + ": " + e);
+      exit(EXIT_USAGE, "cannot read settings file " + file + ": " + e);
     } catch (InvalidDeclarationException e) {
-      exit(USAGE, e.getMessage());
+      exit(EXIT_USAGE, e.getMessage());
     }
     return Optional.empty();
   }
@@ -77,11 +78,11 @@
     try {
       new EntryApplication(settings).run("server");
     } catch (Exception e) {
-      Throwable cause = e;
-      while (cause.getCause() != null) {
-        cause = cause.getCause();
+      Throwable rootCause = e;
+      while (rootCause.getCause() != null) {
+        rootCause = rootCause.getCause();
       }
-      exit(FAILED, "cannot start: " + cause.getMessage());
+      exit(EXIT_FAILURE, "cannot start: " + rootCause.getMessage());
     }
   }
 
--- a/entry/src/main/java/org/magnoliaswitch/entry/EntryMetrics.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/EntryMetrics.java
@@ -16,42 +16,44 @@
 import org.magnoliaswitch.core.request.Outcome;
 import org.magnoliaswitch.core.request.Reply;
 
-/** Counters and gauges of an entry process. */
+/** Prometheus metrics of an entry process. */
 @Singleton
 final class EntryMetrics {
   private final PrometheusMeterRegistry registry;
-  private final Map<Outcome, Counter> byOutcome = new EnumMap<>(Outcome.class);
+  private final Map<Outcome, Counter> requestsByOutcome = new EnumMap<>(Outcome.class);
   private final Timer latency;
 
   @Inject
   EntryMetrics(PrometheusMeterRegistry registry, ControlPlane control) {
     this.registry = registry;
     for (Outcome outcome : Outcome.values()) {
-      byOutcome.put(
+      requestsByOutcome.put(
           outcome,
           Counter.builder("magnolia.requests").tag("outcome", outcome.text()).register(registry));
     }
     this.latency =
         Timer.builder("magnolia.request.latency").publishPercentiles(0.5, 0.99).register(registry);
-    gauges(control);
+    registerGauges(control);
     new JvmMemoryMetrics().bindTo(registry);
     new ProcessorMetrics().bindTo(registry);
-    bindGarbageCollection();
+    bindGarbageCollectionMetrics();
   }
 
-  void answered(Reply reply, long nanos) {
-    Counter counter = byOutcome.get(reply.outcome());
+  /** Counts a reply by its outcome and records the latency of its request. */
+  void recordReply(Reply reply, long latencyNanos) {
+    Counter counter = requestsByOutcome.get(reply.outcome());
     if (counter != null) {
       counter.increment();
     }
-    latency.record(nanos, TimeUnit.NANOSECONDS);
+    latency.record(latencyNanos, TimeUnit.NANOSECONDS);
   }
 
+  /** Returns all metrics in the text format of Prometheus. */
   String scrape() {
     return registry.scrape();
   }
 
-  private void gauges(ControlPlane control) {
+  private void registerGauges(ControlPlane control) {
     Gauge.builder("magnolia.version", () -> control.state().version().get().version())
         .register(registry);
     Gauge.builder("magnolia.members", () -> control.state().membership().size()).register(registry);
@@ -68,8 +70,8 @@
     Gauge.builder("magnolia.keys", () -> control.ledger().size()).register(registry);
   }
 
-  @SuppressWarnings("resource") // Lives as long as the process.
-  private void bindGarbageCollection() {
+  @SuppressWarnings("resource") // never closed: the binder is needed until the process exits
+  private void bindGarbageCollectionMetrics() {
     new JvmGcMetrics().bindTo(registry);
   }
 }
--- a/entry/src/main/java/org/magnoliaswitch/entry/EntryModule.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/EntryModule.java
@@ -20,7 +20,7 @@
 import org.magnoliaswitch.core.process.Platform;
 import org.magnoliaswitch.core.request.RequestService;
 
-/** Wires the parts of an entry process, each of which lives as long as the process. */
+/** Guice bindings of an entry process. All of them are singletons. */
 final class EntryModule extends AbstractModule {
   private final EntrySettings settings;
 
@@ -43,7 +43,7 @@
   @Provides
   @Singleton
   ControlPlane controlPlane(Clocks clocks) throws IOException {
-    HttpPlatform http =
+    HttpPlatform httpPlatform =
         new HttpPlatform(URI.create(settings.platform()), settings.platformTimeoutMillis());
     InstanceIdentity identity =
         new InstanceIdentity(
@@ -54,11 +54,14 @@
             settings.operatorPort(),
             settings.peerPort());
     PeerSecret secret =
-        new PeerSecret(readLine(settings.secretFile()).getBytes(StandardCharsets.UTF_8));
+        new PeerSecret(readFirstLineOf(settings.secretFile()).getBytes(StandardCharsets.UTF_8));
     ControlPlane.Setup setup =
         new ControlPlane.Setup(identity, settings.seedAddresses(), GossipSettings.DEFAULT, secret);
     return new ControlPlane(
-        setup, new Platform(http, http, http), clocks, RandomGenerator.of("L64X128MixRandom"));
+        setup,
+        new Platform(httpPlatform, httpPlatform, httpPlatform),
+        clocks,
+        RandomGenerator.of("L64X128MixRandom"));
   }
 
   @Provides
@@ -69,20 +72,20 @@
 
   @Provides
   @Singleton
-  PrometheusMeterRegistry meters() {
+  PrometheusMeterRegistry meterRegistry() {
     return new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
   }
 
   @Provides
   @Singleton
   BearerFilter bearerFilter() throws IOException {
-    return new BearerFilter(readLine(settings.tokenFile()));
+    return new BearerFilter(readFirstLineOf(settings.tokenFile()));
   }
 
-  private static String readLine(String file) throws IOException {
+  private static String readFirstLineOf(String file) throws IOException {
     String line = Files.asCharSource(new File(file), StandardCharsets.UTF_8).readFirstLine();
     if (line == null || line.isBlank()) {
-      throw new IOException(file + " is empty");
+      throw new IOException(file + ": the first line is empty or blank");
     }
     return line.strip();
   }
--- a/entry/src/main/java/org/magnoliaswitch/entry/FixedConfigurationFactory.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/FixedConfigurationFactory.java
@@ -3,7 +3,7 @@
 import io.dropwizard.configuration.ConfigurationFactory;
 import io.dropwizard.configuration.ConfigurationSourceProvider;
 
-/** Gives the framework a configuration derived from settings that were read and checked before. */
+/** Provides Dropwizard with a configuration derived from settings that are already validated. */
 final class FixedConfigurationFactory implements ConfigurationFactory<EntryConfiguration> {
   private final EntrySettings settings;
 
--- a/entry/src/main/java/org/magnoliaswitch/entry/GracefulStop.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/GracefulStop.java
@@ -6,17 +6,18 @@
 import org.magnoliaswitch.core.process.ControlPlane;
 
 /**
- * Stops an entry without cutting a request.
+ * Stops an entry without aborting requests in flight.
  *
- * <p>First it says that it is not ready, and goes on serving until the balancer in front has
- * noticed; each answer then asks the caller to close its connection. Then it accepts no more,
- * finishes what is in flight, tells peers and writes the last outcome record.
+ * <p>The entry first fails its readiness check, announces to its peers that it is leaving, and
+ * keeps serving until the load balancer has had time to notice. Responses sent during that time ask
+ * the caller to close its connection. Then the entry stops accepting connections, waits for the
+ * requests in flight and writes its last outcome record.
  */
 final class GracefulStop {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  private static final int STOPPED = 0;
-  private static final int LIMIT_REACHED = 1;
+  private static final int EXIT_COMPLETED = 0;
+  private static final int EXIT_TIMED_OUT = 1;
 
   private final EntrySettings settings;
   private final ControlPlane control;
@@ -30,19 +31,20 @@
 
   void run() {
     logger.atInfo().log("event=stopping in_flight=%d", callers.inFlight());
-    callers.unready();
+    callers.markNotReady();
     control.leave();
-    await(settings.stopUnreadyMillis());
-    boolean finished = callers.stop(settings.stopLimitMillis());
+    waitForLoadBalancer(settings.stopUnreadyMillis());
+    boolean completed = callers.stop(settings.stopLimitMillis());
     control.writeFinalRecord();
     control.close();
-    logger.atInfo().log("event=stopped finished=%s", finished);
-    // The Java machine would end with the signal's code; an orderly stop is told by 0.
-    Runtime.getRuntime().halt(finished ? STOPPED : LIMIT_REACHED);
+    logger.atInfo().log("event=stopped finished=%s", completed);
+    // On its own, the JVM would exit with the code of the signal. Exit code 0 reports a stop that
+    // completed in time.
+    Runtime.getRuntime().halt(completed ? EXIT_COMPLETED : EXIT_TIMED_OUT);
   }
 
-  /** The only thing to wait for is the balancer, which tells nobody that it has noticed. */
-  private static void await(long millis) {
+  /** Waits a fixed time, since the load balancer does not report that it has noticed the change. */
+  private static void waitForLoadBalancer(long millis) {
     try {
       boolean unused = new CountDownLatch(1).await(millis, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
--- a/entry/src/main/java/org/magnoliaswitch/entry/KeyEndpoints.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/KeyEndpoints.java
@@ -18,7 +18,7 @@
 import org.magnoliaswitch.core.request.Reply;
 import org.magnoliaswitch.core.request.RequestService;
 
-/** The system's own paths for callers: readiness, issued keys and outcomes of keys. */
+/** Endpoints for callers that the entry answers itself: readiness, issued keys and key outcomes. */
 final class KeyEndpoints {
   static final String PREFIX = "/.well-known/magnoliaswitch/";
 
@@ -44,17 +44,17 @@
           ready.getAsBoolean()
               ? text(OK, "ready\n")
               : Reply.local(UNAVAILABLE, Outcome.NOT_EXECUTED, "not ready", 1);
-      case "keys" -> issue(request);
-      case "outcomes" -> outcome(request);
+      case "keys" -> issueKeys(request);
+      case "outcomes" -> queryOutcome(request);
       default -> Reply.local(NOT_FOUND, Outcome.NOT_EXECUTED, "no such path", 0);
     };
   }
 
-  private Reply issue(Request request) {
+  private Reply issueKeys(Request request) {
     if (!ready.getAsBoolean()) {
       return Reply.local(UNAVAILABLE, Outcome.NOT_EXECUTED, "not ready", 1);
     }
-    int count = Math.clamp(number(parameter(request, "count").orElse("1")), 1, MAX_KEYS);
+    int count = Math.clamp(parseNumber(parameter(request, "count").orElse("1")), 1, MAX_KEYS);
     StringBuilder keys = new StringBuilder();
     for (int i = 0; i < count; i++) {
       keys.append(control.issuer().issue()).append('\n');
@@ -62,21 +62,24 @@
     return text(OK, keys.toString());
   }
 
-  private Reply outcome(Request request) {
+  private Reply queryOutcome(Request request) {
     Optional<String> service = parameter(request, "service");
     Optional<String> key = parameter(request, "key");
     if (service.isEmpty() || key.isEmpty()) {
       return Reply.local(NOT_FOUND, Outcome.UNKNOWN, "name service and key", 0);
     }
-    boolean passedOn = request.getHeaders().contains(HolderForwarder.HOP_HEADER);
-    OutcomeQuery.Answer answer = requests.outcomes().lookup(service.get(), key.get(), passedOn);
+    boolean forwarded = request.getHeaders().contains(HolderForwarder.HOP_HEADER);
+    OutcomeQuery.Answer answer = requests.outcomes().lookup(service.get(), key.get(), forwarded);
     return switch (answer) {
-      case OutcomeQuery.Answer.Resolved told -> told.reply();
-      case OutcomeQuery.Answer.AskHolder ask -> askHolder(request, service.get(), ask);
+      case OutcomeQuery.Answer.Resolved resolved -> resolved.reply();
+      case OutcomeQuery.Answer.AskHolder askHolder ->
+          queryHolder(request, service.get(), askHolder);
     };
   }
 
-  private Reply askHolder(Request request, String service, OutcomeQuery.Answer.AskHolder ask) {
+  /** Forwards the query to the instance that holds the key. */
+  private Reply queryHolder(
+      Request request, String service, OutcomeQuery.Answer.AskHolder askHolder) {
     ServiceState state = control.registry().state().services().get(service);
     if (state == null) {
       return Reply.local(NOT_FOUND, Outcome.UNKNOWN, "no such service", 0);
@@ -95,7 +98,7 @@
             new InboundRequest.Attempt(1, false, ""),
             Optional.empty(),
             Request.getRemoteAddr(request));
-    AttemptResult result = requests.forwarder().forward(query, ask.holder());
+    AttemptResult result = requests.forwarder().forward(query, askHolder.holder());
     return result instanceof AttemptResult.Answered answered
         ? answered.reply()
         : Reply.local(UNAVAILABLE, Outcome.UNKNOWN, "the key's holder does not answer", 1);
@@ -106,7 +109,7 @@
     return Optional.ofNullable(fields.getValue(name));
   }
 
-  private static int number(String text) {
+  private static int parseNumber(String text) {
     return text.matches("[0-9]{1,6}") ? Integer.parseInt(text) : 1;
   }
 
--- a/entry/src/main/java/org/magnoliaswitch/entry/OperatorResource.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/OperatorResource.java
@@ -16,7 +16,7 @@
 import org.magnoliaswitch.core.process.TimelineEvent;
 import org.magnoliaswitch.core.version.Snapshot;
 
-/** Operators' view of one instance: health, readiness, metrics, status and time line. */
+/** HTTP API for operators of one instance: health, readiness, metrics, status and timeline. */
 @Path("/")
 @Produces(MediaType.APPLICATION_JSON)
 public final class OperatorResource {
@@ -29,7 +29,7 @@
     this.metrics = metrics;
   }
 
-  /** The process runs. */
+  /** Returns a constant response while the process runs. */
   @GET
   @Path("health")
   @Produces(MediaType.TEXT_PLAIN)
@@ -37,7 +37,7 @@
     return "ok\n";
   }
 
-  /** The instance may get requests; otherwise the reason why not. */
+  /** Returns status 200 if the instance may receive requests, otherwise 503 and the reason. */
   @GET
   @Path("ready")
   @Produces(MediaType.TEXT_PLAIN)
@@ -52,7 +52,7 @@
     return Response.status(Response.Status.SERVICE_UNAVAILABLE).entity(reason + '\n').build();
   }
 
-  /** Metrics in Prometheus' text format. */
+  /** Returns the metrics in the text format of Prometheus. */
   @GET
   @Path("metrics")
   @Produces(MediaType.TEXT_PLAIN)
@@ -60,7 +60,7 @@
     return metrics.scrape();
   }
 
-  /** Status of this instance and the peers it knows. */
+  /** Returns the status of this instance and the live peers that it knows. */
   @GET
   @Path("status")
   public InstanceStatus status() {
@@ -72,17 +72,20 @@
         control.state().membership().livePeers());
   }
 
-  /** The recent events. */
+  /** Returns the recent events of this instance. */
   @GET
   @Path("timeline")
   public List<TimelineEvent> timeline() {
     return control.state().timeline().events();
   }
 
-  /** Takes a server out at once, here and at all peers, also while the store is out. */
+  /**
+   * Stops new requests to a server at once, at this instance and all its peers. This also works
+   * while the store is unavailable.
+   */
   @POST
   @Path("servers/{id}/leaving")
-  public Response leaving(@PathParam("id") String id) {
+  public Response markLeaving(@PathParam("id") String id) {
     if (control.state().leaving().markLeaving(id, LeavingNotice.Source.OPERATOR)) {
       control.state().timeline().record(EventKind.SERVER_LEAVING, "", "", id, "sign=operator");
       control.gossip().pushUpdate();
--- a/entry/src/main/java/org/magnoliaswitch/entry/ReadyCheck.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/ReadyCheck.java
@@ -3,7 +3,7 @@
 import com.codahale.metrics.health.HealthCheck;
 import org.magnoliaswitch.core.process.ControlPlane;
 
-/** Health of the process as the framework's own pages show it. */
+/** Readiness of the instance, shown on the admin pages of Dropwizard. */
 final class ReadyCheck extends HealthCheck {
   private final ControlPlane control;
 
--- a/entry/src/main/java/org/magnoliaswitch/entry/RequestReader.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/RequestReader.java
@@ -28,15 +28,21 @@
 import org.magnoliaswitch.core.version.Execution;
 import org.magnoliaswitch.core.version.RequestKind;
 
-/** Turns a request of the listener into an {@link InboundRequest}. */
+/** Converts an HTTP request of a caller into an {@link InboundRequest}. */
 final class RequestReader {
-  /** Bodies of at-most-once requests are held whole, for the fingerprint. */
-  private static final int MAX_ONCE_BODY = 256 * 1024;
+  /**
+   * Maximum length of the body of an at-most-once request, which is buffered as a whole to compute
+   * its fingerprint.
+   */
+  private static final int MAX_AT_MOST_ONCE_BODY_BYTES = 256 * 1024;
 
-  private static final long MAX_BODY = 64L * 1024 * 1024;
+  private static final long MAX_BODY_BYTES = 64L * 1024 * 1024;
 
-  /** Longer bodies are not read to their end: some seconds of a caller's link, in bytes. */
-  private static final long MAX_DISCARDED = 16L * 1024 * 1024;
+  /**
+   * Maximum length of a rejected body that is still read to its end. It corresponds to a few
+   * seconds of transfer from the caller.
+   */
+  private static final long MAX_DISCARDED_BYTES = 16L * 1024 * 1024;
 
   private static final int MAX_KEY_LENGTH = 200;
   private static final int NOT_FOUND = 404;
@@ -46,13 +52,13 @@
   private static final String KEY_HEADER = "Idempotency-Key";
   private static final String GROUP_HEADER = "Caller-Group";
 
-  /** What came of reading. */
+  /** Result of reading a request. */
   sealed interface Reading {
-    /** A request to serve. */
-    record Usable(InboundRequest request) implements Reading {}
+    /** The request is valid and must be served. */
+    record Accepted(InboundRequest request) implements Reading {}
 
-    /** A request that is answered at once. */
-    record Refused(Reply reply) implements Reading {}
+    /** The request is answered with this reply and not served. */
+    record Rejected(Reply reply) implements Reading {}
   }
 
   private final EntrySettings settings;
@@ -70,29 +76,29 @@
     Optional<ServiceState> service = control.registry().state().serviceOf(path);
     if (service.isEmpty()) {
       return control.registry().state().snapshot().version() == 0
-          ? refused(UNAVAILABLE, "no configuration yet")
-          : unknown("no service has this path");
+          ? rejected(UNAVAILABLE, "no configuration yet")
+          : rejectUnknown("no service has this path");
     }
     String relative = path.substring(service.get().service().pathPrefix().length());
     Optional<RequestKind> kind =
         service.get().profile().kindOf(request.getMethod(), relative.isEmpty() ? "/" : relative);
     if (kind.isEmpty()) {
-      return unknown("the profile has no kind for this request");
+      return rejectUnknown("the profile has no kind for this request");
     }
     String key = request.getHeaders().get(KEY_HEADER);
     if (key != null && !validKey(key)) {
-      return refused(BAD_REQUEST, "the Idempotency-Key is empty, too long or has odd characters");
+      return rejected(BAD_REQUEST, "the Idempotency-Key is empty, too long or has odd characters");
     }
-    if (request.getLength() > limit(kind.get())) {
+    if (request.getLength() > maxBodyBytes(kind.get())) {
       discard(request);
-      return refused(TOO_LARGE, "the body is too large");
+      return rejected(TOO_LARGE, "the body is too large");
     }
     InboundRequest.Body body = body(request, kind.get());
-    if (body instanceof InboundRequest.Body.Buffered whole
-        && whole.content().length > limit(kind.get())) {
-      return refused(TOO_LARGE, "the body is too large");
+    if (body instanceof InboundRequest.Body.Buffered buffered
+        && buffered.content().length > maxBodyBytes(kind.get())) {
+      return rejected(TOO_LARGE, "the body is too large");
     }
-    return new Reading.Usable(
+    return new Reading.Accepted(
         new InboundRequest(
             id(request),
             request.getMethod(),
@@ -107,23 +113,30 @@
             Request.getRemoteAddr(request)));
   }
 
-  /** A version that nobody has vouched for lately may lack what a newer one has. */
-  private Reading unknown(String reason) {
+  /**
+   * Rejects a request that matches no service or kind. While the instance is isolated, its
+   * configuration may lack what a newer version has, so it does not answer that the path is
+   * unknown.
+   */
+  private Reading rejectUnknown(String reason) {
     return control.state().contact().isolated()
-        ? refused(UNAVAILABLE, "the configuration may be old: " + reason)
-        : refused(NOT_FOUND, reason);
+        ? rejected(UNAVAILABLE, "the configuration may be old: " + reason)
+        : rejected(NOT_FOUND, reason);
   }
 
-  private static long limit(RequestKind kind) {
-    return kind.execution() == Execution.AT_MOST_ONCE ? MAX_ONCE_BODY : MAX_BODY;
+  private static long maxBodyBytes(RequestKind kind) {
+    return kind.execution() == Execution.AT_MOST_ONCE
+        ? MAX_AT_MOST_ONCE_BODY_BYTES
+        : MAX_BODY_BYTES;
   }
 
   /**
-   * Reads a body that is not wanted. Answered while its caller is still sending, the connection is
-   * reset and the answer lost: the caller would not know that nothing was executed.
+   * Reads and discards the body of a rejected request. If the response were sent while the caller
+   * is still sending, the connection would be reset and the response lost, and the caller would not
+   * know that nothing was executed.
    */
   private static void discard(Request request) throws IOException {
-    if (request.getLength() <= MAX_DISCARDED) {
+    if (request.getLength() <= MAX_DISCARDED_BYTES) {
       Content.Source.asInputStream(request).transferTo(OutputStream.nullOutputStream());
     }
   }
@@ -140,54 +153,60 @@
       return new InboundRequest.Body.Buffered(new byte[0]);
     }
     InputStream stream = Content.Source.asInputStream(request);
-    boolean whole =
+    boolean buffered =
         kind.execution() == Execution.AT_MOST_ONCE
             || (length > 0 && length <= Exchange.MAX_BUFFERED_BYTES);
-    if (!whole) {
+    if (!buffered) {
       return new InboundRequest.Body.Streaming(stream, length);
     }
-    byte[] content = stream.readNBytes(MAX_ONCE_BODY + 1);
-    if (length >= 0 && content.length < length && content.length <= MAX_ONCE_BODY) {
-      throw new IOException("the body was cut short");
+    byte[] content = stream.readNBytes(MAX_AT_MOST_ONCE_BODY_BYTES + 1);
+    if (length >= 0 && content.length < length && content.length <= MAX_AT_MOST_ONCE_BODY_BYTES) {
+      throw new IOException("the request body is shorter than its Content-Length");
     }
     return new InboundRequest.Body.Buffered(content);
   }
 
   private static String id(Request request) {
-    String given = request.getHeaders().get(AttemptRunner.ID_HEADER);
-    boolean usable = given != null && given.matches("[A-Za-z0-9._:-]{1,100}");
-    return usable ? given : Long.toHexString(ThreadLocalRandom.current().nextLong());
+    String header = request.getHeaders().get(AttemptRunner.ID_HEADER);
+    boolean valid = header != null && header.matches("[A-Za-z0-9._:-]{1,100}");
+    return valid ? header : Long.toHexString(ThreadLocalRandom.current().nextLong());
   }
 
   private static Deadline deadline(Request request, RequestKind kind, long now) {
-    long wanted = number(request.getHeaders().get(AttemptRunner.DEADLINE_HEADER), Long.MAX_VALUE);
-    return Deadline.after(now, Math.max(1, Math.min(kind.deadlineMillis(), wanted)));
+    long requested =
+        parseNumber(request.getHeaders().get(AttemptRunner.DEADLINE_HEADER), Long.MAX_VALUE);
+    return Deadline.after(now, Math.max(1, Math.min(kind.deadlineMillis(), requested)));
   }
 
   private static InboundRequest.Attempt attempt(Request request) {
-    String given = request.getHeaders().get(AttemptRunner.ATTEMPT_HEADER);
+    String header = request.getHeaders().get(AttemptRunner.ATTEMPT_HEADER);
     String group = request.getHeaders().get(GROUP_HEADER);
-    int number = (int) Math.max(1, Math.min(1_000, number(given, 1)));
-    return new InboundRequest.Attempt(number, given != null, group == null ? "" : group);
+    int number = (int) Math.max(1, Math.min(1_000, parseNumber(header, 1)));
+    return new InboundRequest.Attempt(number, header != null, group == null ? "" : group);
   }
 
-  private static long number(@Nullable String text, long fallback) {
+  private static long parseNumber(@Nullable String text, long fallback) {
     return text != null && text.matches("[0-9]{1,9}") ? Long.parseLong(text) : fallback;
   }
 
-  /** End-to-end fields; those that the Connection field names end here as well. */
+  /**
+   * Returns the end-to-end header fields, which are those that are neither hop-by-hop nor listed in
+   * the Connection field, and adds the fields of this proxy.
+   */
   private List<Field> fields(Request request) {
     HttpFields received = request.getHeaders();
-    Set<String> named = new HashSet<>();
+    Set<String> connectionOptions = new HashSet<>();
     for (String value : received.getCSV(HttpHeader.CONNECTION, false)) {
-      named.add(value.toLowerCase(Locale.ROOT));
+      connectionOptions.add(value.toLowerCase(Locale.ROOT));
     }
     List<Field> fields = new ArrayList<>();
-    for (HttpField one : received) {
-      String value = one.getValue() == null ? "" : one.getValue();
-      Field field = new Field(one.getName(), value);
-      boolean replaced = field.hasName("Host") || field.hasName("X-Request-Id");
-      if (!field.hopByHop() && !replaced && !named.contains(one.getLowerCaseName())) {
+    for (HttpField header : received) {
+      String value = header.getValue() == null ? "" : header.getValue();
+      Field field = new Field(header.getName(), value);
+      boolean replacedByProxy = field.hasName("Host") || field.hasName("X-Request-Id");
+      if (!field.hopByHop()
+          && !replacedByProxy
+          && !connectionOptions.contains(header.getLowerCaseName())) {
         fields.add(field);
       }
     }
@@ -207,8 +226,8 @@
         + (host == null ? "" : ";host=\"" + host.replace("\"", "") + '"');
   }
 
-  private static Reading refused(int status, String reason) {
+  private static Reading rejected(int status, String reason) {
     int retryAfter = status == UNAVAILABLE ? 1 : 0;
-    return new Reading.Refused(Reply.local(status, Outcome.NOT_EXECUTED, reason, retryAfter));
+    return new Reading.Rejected(Reply.local(status, Outcome.NOT_EXECUTED, reason, retryAfter));
   }
 }
--- a/entry/src/main/java/org/magnoliaswitch/entry/package-info.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/package-info.java
@@ -1,4 +1,4 @@
-/** The entry process: listeners for callers, operators and peers around the library. */
+/** The entry process: HTTP listeners for callers and operators on top of the core library. */
 @NullMarked
 package org.magnoliaswitch.entry;
 
--- a/entry/src/test/java/org/magnoliaswitch/entry/CallerContractTest.java
+++ b/entry/src/test/java/org/magnoliaswitch/entry/CallerContractTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What callers see of an entry, as docs/callers promises it. */
+/** Checks the HTTP contract between an entry and its callers. */
 public final class CallerContractTest {
   private RunningEntry entry;
 
@@ -27,14 +27,14 @@
   }
 
   @AfterMethod(alwaysRun = true)
-  public void heal() throws Exception {
+  public void clearFaults() throws Exception {
     entry.faults("{\"cutShare\": 0, \"rejectShare\": 0}");
     entry.platformFaults(PlatformFaults.NONE);
   }
 
   @DataProvider
   public static Object[][] requests() {
-    String big = "X-Big: " + "x".repeat(20_000) + "\r\n";
+    String largeHeader = "X-Big: " + "x".repeat(20_000) + "\r\n";
     return new Object[][] {
       {"GET", "/booking/slots", "", "", 200, "executed"},
       {"GET", "/nowhere", "", "", 404, "not-executed"},
@@ -58,7 +58,7 @@
         "not-executed"
       },
       {"POST", "/booking/book", "Idempotency-Key: t-first\r\n", "b", 200, "executed"},
-      {"GET", "/booking/slots", big, "", 431, ""},
+      {"GET", "/booking/slots", largeHeader, "", 431, ""},
       {"GET", "/.well-known/magnoliaswitch/ready", "", "", 200, "executed"},
       {
         "GET",
@@ -75,22 +75,22 @@
   public void answersWithStatusAndOutcome(
       String method, String path, String fields, String body, int status, String outcome)
       throws Exception {
-    String answer = entry.send(method, path, fields, body);
-    assertEquals(status(answer), status, answer.substring(0, Math.min(300, answer.length())));
-    assertTrue(outcome.isEmpty() || answer.contains("Request-Outcome: " + outcome), answer);
+    String response = entry.send(method, path, fields, body);
+    assertEquals(status(response), status, response.substring(0, Math.min(300, response.length())));
+    assertTrue(outcome.isEmpty() || response.contains("Request-Outcome: " + outcome), response);
   }
 
   /**
-   * A booking whose body is longer than all buffers on the way. Answered before it has been read,
-   * its caller would meet a reset in place of the answer, and not know whether the booking was
-   * made.
+   * The body is longer than all buffers between caller and entry. If the entry responded before it
+   * has read the body, the connection would be reset, and the caller would not know whether the
+   * booking was executed.
    */
   @Test
-  public void aBodyThatIsTooLargeIsReadBeforeItIsRefused() throws Exception {
-    String answer =
+  public void aBodyThatIsTooLargeIsReadBeforeItIsRejected() throws Exception {
+    String response =
         entry.send("POST", "/booking/book", "Idempotency-Key: t-larger\r\n", "x".repeat(8_000_000));
-    assertEquals(status(answer), 413);
-    assertTrue(answer.contains("Request-Outcome: not-executed"), answer);
+    assertEquals(status(response), 413);
+    assertTrue(response.contains("Request-Outcome: not-executed"), response);
   }
 
   @DataProvider
@@ -109,13 +109,13 @@
   }
 
   @Test(dataProvider = "malformed")
-  public void refusesWhatCanBeReadInTwoWays(String request) throws Exception {
-    assertEquals(status(entry.raw(request)), 400);
+  public void rejectsAmbiguousAndMalformedRequests(String request) throws Exception {
+    assertEquals(status(entry.sendRaw(request)), 400);
   }
 
-  /** Keys and what comes of using them again. */
+  /** A second request with the same key receives the stored response. */
   @Test
-  public void replaysTheWholeAnswerToTheSameKey() throws Exception {
+  public void replaysTheWholeResponseToTheSameKey() throws Exception {
     String first = book("t-replay", "body");
     String again = book("t-replay", "body");
     assertTrue(again.contains("Idempotency-Replayed: true"), again);
@@ -123,13 +123,13 @@
   }
 
   @Test
-  public void refusesTheSameKeyWithAnotherBody() throws Exception {
+  public void rejectsAKeyThatIsReusedWithAnotherBody() throws Exception {
     book("t-mismatch", "one");
     assertEquals(status(book("t-mismatch", "two")), 422);
   }
 
   @Test
-  public void tellsTheOutcomeOfAKeyLater() throws Exception {
+  public void theOutcomeOfAKeyCanBeQueriedLater() throws Exception {
     book("t-later", "body");
     assertTrue(
         entry
@@ -138,39 +138,43 @@
   }
 
   /**
-   * The server executes the booking and its answer is cut short. The caller is told that nobody
-   * knows, and its retry under the same key is not sent again.
+   * The server executes the booking, but its response is truncated. The outcome reported to the
+   * caller is unknown, and a retry with the same key is not sent to a server.
    */
   @Test
-  public void aCutAnswerToABookingStaysUnknown() throws Exception {
+  public void aBookingWithATruncatedResponseStaysUnknown() throws Exception {
     entry.faults("{\"cutShare\": 1}");
     assertTrue(book("t-cut", "body").contains("Request-Outcome: unknown"));
     entry.faults("{\"cutShare\": 0}");
     assertTrue(book("t-cut", "body").contains("Request-Outcome: unknown"));
   }
 
-  /** All servers refuse; the booking was not executed, and its key is as good as new. */
+  /** All servers reject the booking, so it was not executed and its key can be used again. */
   @Test
-  public void aRefusedBookingDoesNotSpoilItsKey() throws Exception {
+  public void aRejectedBookingLeavesItsKeyUsable() throws Exception {
     entry.faults("{\"rejectShare\": 1}");
-    String refused = book("t-refused", "body");
-    assertTrue(refused.contains("Request-Outcome: not-executed"), refused);
-    assertTrue(refused.contains("Retry-After: "), refused);
+    String rejected = book("t-refused", "body");
+    assertTrue(rejected.contains("Request-Outcome: not-executed"), rejected);
+    assertTrue(rejected.contains("Retry-After: "), rejected);
     entry.faults("{\"rejectShare\": 0}");
     assertEquals(status(book("t-refused", "body")), 200);
   }
 
-  /** With the table out, keys of the system go on, and callers' own keys are refused promptly. */
+  /**
+   * While the platform's table is unavailable, requests with issued keys are served, and requests
+   * with keys chosen by the caller are rejected without waiting for the table.
+   */
   @Test
-  public void issuedKeysWorkWithoutTheTable() throws Exception {
+  public void issuedKeysWorkWhileTheTableIsUnavailable() throws Exception {
     String issued = body(entry.send("GET", "/.well-known/magnoliaswitch/keys", "", "")).strip();
     entry.platformFaults(new PlatformFaults(true, 0, 0, 0, 0, 0));
     assertEquals(status(book(issued, "body")), 200);
-    String own = book("t-own-outage", "body");
-    assertEquals(status(own), 503);
-    assertTrue(own.contains("Request-Outcome: unknown"), own);
-    // Asked later, this entry must not take its own failed claim for the key's outcome: another
-    // entry may have claimed and run the key. The once experiment found 97 callers told so.
+    String callerKey = book("t-own-outage", "body");
+    assertEquals(status(callerKey), 503);
+    assertTrue(callerKey.contains("Request-Outcome: unknown"), callerKey);
+    // The entry must not report its own failed claim as the outcome of the key, because another
+    // entry may have claimed the key and executed the request. In one run, 97 callers received that
+    // wrong outcome.
     assertFalse(
         entry
             .send(
@@ -183,38 +187,41 @@
     assertEquals(status(book("t-own-outage", "body")), 200);
   }
 
-  /** Guards against callers that are sent away for good since a service is not known yet. */
+  /**
+   * Guards against a 404 for a service that the entry does not know yet: the caller would take it
+   * as final. An isolated entry must response with 503 instead.
+   */
   @Test(timeOut = 60_000)
-  public void anEntryThatHearsNobodyDoesNotCallAPathUnknown() throws Exception {
+  public void anIsolatedEntryDoesNotReportAnUnknownPath() throws Exception {
     entry.platformFaults(new PlatformFaults(true, 0, 0, 0, 0, 0));
-    String answer = entry.send("GET", "/nowhere", "", "");
-    while (status(answer) == 404) {
-      answer = entry.send("GET", "/nowhere", "", "");
+    String response = entry.send("GET", "/nowhere", "", "");
+    while (status(response) == 404) {
+      response = entry.send("GET", "/nowhere", "", "");
     }
-    assertEquals(status(answer), 503);
-    assertTrue(answer.contains("Request-Outcome: not-executed"), answer);
+    assertEquals(status(response), 503);
+    assertTrue(response.contains("Request-Outcome: not-executed"), response);
     entry.platformFaults(PlatformFaults.NONE);
-    while (status(answer) == 503) {
-      answer = entry.send("GET", "/nowhere", "", "");
+    while (status(response) == 503) {
+      response = entry.send("GET", "/nowhere", "", "");
     }
-    assertEquals(status(answer), 404);
+    assertEquals(status(response), 404);
   }
 
   @Test
-  public void passesOnEndToEndFieldsOnly() throws Exception {
-    String answer =
+  public void onlyEndToEndFieldsAreForwarded() throws Exception {
+    String response =
         entry.send("GET", "/booking/slots", "Keep-Alive: 5\r\nOperation-Id: op-1\r\n", "");
-    assertTrue(body(answer).startsWith("operation=op-1 "), answer);
-    assertFalse(answer.contains("Keep-Alive"), answer);
+    assertTrue(body(response).startsWith("operation=op-1 "), response);
+    assertFalse(response.contains("Keep-Alive"), response);
   }
 
   @Test
-  public void passesOnALargeAnswerWhole() throws Exception {
+  public void largeResponseIsForwardedWhole() throws Exception {
     assertEquals(
         body(entry.send("GET", "/booking/slots?size=1000000", "", "")).length(), 1_000_000);
   }
 
-  /** Random changes of a valid request never hang the listener or make it answer nonsense. */
+  /** Randomly damaged requests neither block the listener nor cause a malformed response. */
   @Test
   public void survivesDamagedRequests() throws Exception {
     SplittableRandom random = new SplittableRandom(5);
@@ -227,10 +234,10 @@
         damaged.setCharAt(random.nextInt(60), (char) random.nextInt(256));
       }
       try {
-        String answer = entry.rawToTheEnd(damaged + "\r\n\r\n");
-        assertTrue(answer.isEmpty() || answer.startsWith("HTTP/1.1 "), answer);
+        String response = entry.sendRawAndShutDownOutput(damaged + "\r\n\r\n");
+        assertTrue(response.isEmpty() || response.startsWith("HTTP/1.1 "), response);
       } catch (java.net.SocketException e) {
-        // Closed with bytes unread, which resets the connection.
+        // The listener closed the connection with unread bytes, which resets it.
       }
     }
     assertEquals(status(entry.send("GET", "/booking/slots", "", "")), 200);
@@ -240,11 +247,11 @@
     return entry.send("POST", "/booking/book", "Idempotency-Key: " + key + "\r\n", body);
   }
 
-  private static int status(String answer) {
-    return answer.length() < 12 ? 0 : Integer.parseInt(answer.substring(9, 12));
+  private static int status(String response) {
+    return response.length() < 12 ? 0 : Integer.parseInt(response.substring(9, 12));
   }
 
-  private static String body(String answer) {
-    return answer.substring(answer.indexOf("\r\n\r\n") + 4);
+  private static String body(String response) {
+    return response.substring(response.indexOf("\r\n\r\n") + 4);
   }
 }
--- a/entry/src/test/java/org/magnoliaswitch/entry/EntrySettingsTest.java
+++ b/entry/src/test/java/org/magnoliaswitch/entry/EntrySettingsTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Settings as operators write them. */
+/** Checks parsing and validation of the settings file. */
 public final class EntrySettingsTest {
   private static final String VALID =
       """
@@ -38,7 +38,10 @@
       {"\"callerPort\": 7100", "\"callerPort\": \"x\"", "entry.json: callerPort", ""},
       {"\"callerPort\": 7100", "\"callerPorts\": 7100", "callerPorts", "known are"},
       {
-        "\"callerPort\": 7100", "\"callerPort\": 7101", "a port used twice", "three different ports"
+        "\"callerPort\": 7100",
+        "\"callerPort\": 7101",
+        "the same port for two listeners",
+        "three different ports"
       },
       {"\"host\": \"127.0.0.1\"", "\"host\": \"localhost\"", "host: \"localhost\"", "matches"},
       {"127.0.0.1:7105", "nowhere", "seeds[0]: \"nowhere\"", "matches"},
@@ -48,15 +51,15 @@
   }
 
   @Test(dataProvider = "faults")
-  public void namesPathValueAndWhatIsAllowed(
-      String right, String wrong, String named, String allowed) {
-    assertTrue(VALID.contains(right), right);
-    InvalidDeclarationException refused =
+  public void messageNamesPathValueAndAllowedValues(
+      String valid, String invalid, String expectedPath, String allowed) {
+    assertTrue(VALID.contains(valid), valid);
+    InvalidDeclarationException exception =
         expectThrows(
             InvalidDeclarationException.class,
-            () -> EntrySettings.parse("entry.json", bytes(VALID.replace(right, wrong))));
-    String message = String.valueOf(refused.getMessage());
-    assertTrue(message.contains(named) && message.contains(allowed), message);
+            () -> EntrySettings.parse("entry.json", bytes(VALID.replace(valid, invalid))));
+    String message = String.valueOf(exception.getMessage());
+    assertTrue(message.contains(expectedPath) && message.contains(allowed), message);
   }
 
   private static byte[] bytes(String text) {
--- a/entry/src/test/java/org/magnoliaswitch/entry/GracefulListenerTest.java
+++ b/entry/src/test/java/org/magnoliaswitch/entry/GracefulListenerTest.java
@@ -8,23 +8,23 @@
 import java.util.concurrent.CompletableFuture;
 import org.testng.annotations.Test;
 
-/** An entry that stops cuts nothing. */
+/** Checks that a graceful stop of the listener aborts no request. */
 public final class GracefulListenerTest {
   /**
-   * A caller's request is in flight when the entry stops. The listener closes only after the answer
-   * is whole; a listener that closed at once would cut it.
+   * A request is in flight when the entry stops. The listener must not close before the response is
+   * complete, since the caller would receive a truncated response.
    */
   @Test
-  public void finishesWhatIsInFlight() throws Exception {
+  public void finishesRequestsInFlight() throws Exception {
     try (RunningEntry entry = new RunningEntry()) {
       entry.faults("{\"slowdown\": 400}");
-      CompletableFuture<String> answer = CompletableFuture.supplyAsync(() -> read(entry, "GET"));
+      CompletableFuture<String> response = CompletableFuture.supplyAsync(() -> send(entry, "GET"));
       while (entry.callers().inFlight() == 0) {
         Thread.onSpinWait();
       }
-      entry.callers().unready();
+      entry.callers().markNotReady();
       assertTrue(entry.callers().stop(10_000));
-      assertTrue(answer.join().startsWith("HTTP/1.1 200"), answer.join());
+      assertTrue(response.join().startsWith("HTTP/1.1 200"), response.join());
     }
   }
 
@@ -33,17 +33,17 @@
     try (RunningEntry entry = new RunningEntry();
         Socket socket = new Socket(java.net.InetAddress.getLoopbackAddress(), entry.callerPort())) {
       socket.setSoTimeout(5_000);
-      entry.callers().unready();
+      entry.callers().markNotReady();
       socket
           .getOutputStream()
           .write("GET /booking/a HTTP/1.1\r\nHost: h\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-      String answer =
+      String response =
           new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
-      assertEquals(answer.contains("Connection: close"), true, answer);
+      assertEquals(response.contains("Connection: close"), true, response);
     }
   }
 
-  private static String read(RunningEntry entry, String method) {
+  private static String send(RunningEntry entry, String method) {
     try {
       return entry.send(method, "/booking/a", "", "");
     } catch (java.io.IOException e) {
--- a/entry/src/test/java/org/magnoliaswitch/entry/RunningEntry.java
+++ b/entry/src/test/java/org/magnoliaswitch/entry/RunningEntry.java
@@ -33,7 +33,7 @@
 import org.magnoliaswitch.standins.PlatformFaults;
 import org.magnoliaswitch.standins.PlatformStandin;
 
-/** An entry with its listener for callers, in front of stand-ins, all in this process. */
+/** An entry with its listener for callers and stand-ins of its backends, all in this process. */
 final class RunningEntry implements AutoCloseable {
   private static final int SERVERS = 3;
 
@@ -55,7 +55,7 @@
     backends.start();
     this.callerPort = freePort();
     EntrySettings settings = settings();
-    HttpPlatform http = new HttpPlatform(URI.create(settings.platform()), 500);
+    HttpPlatform httpPlatform = new HttpPlatform(URI.create(settings.platform()), 500);
     this.control =
         new ControlPlane(
             new ControlPlane.Setup(
@@ -63,17 +63,17 @@
                 List.of(),
                 GossipSettings.DEFAULT,
                 new PeerSecret("0123456789abcdef".getBytes(StandardCharsets.US_ASCII))),
-            new Platform(http, http, http),
+            new Platform(httpPlatform, httpPlatform, httpPlatform),
             Clocks.system(),
             new SplittableRandom(1));
     this.callers = new CallerListener(settings, control, new RequestService(control, "dc-1", true));
     callers.start();
     control.catchUp();
     control.start();
-    accept(service);
+    submitConfiguration(service);
   }
 
-  private void accept(Service service) throws IOException {
+  private void submitConfiguration(Service service) throws IOException {
     Map<String, String> parts = new TreeMap<>();
     parts.put("services/booking.json", Json.MAPPER.writeValueAsString(service));
     parts.put("profiles/bookings.json", profile());
@@ -84,22 +84,25 @@
     }
   }
 
-  /** Sends bytes as they are and reads the whole answer. */
-  String raw(String request) throws IOException {
-    return raw(request, false);
+  /** Sends a request without changing it and reads the response until the connection closes. */
+  String sendRaw(String request) throws IOException {
+    return sendRaw(request, false);
   }
 
-  /** Sends bytes as they are, ends the sending side and reads the whole answer. */
-  String rawToTheEnd(String request) throws IOException {
-    return raw(request, true);
+  /**
+   * Sends a request without changing it, shuts down the output and reads the response until the
+   * connection closes.
+   */
+  String sendRawAndShutDownOutput(String request) throws IOException {
+    return sendRaw(request, true);
   }
 
-  private String raw(String request, boolean end) throws IOException {
+  private String sendRaw(String request, boolean shutDownOutput) throws IOException {
     try (Socket socket = new Socket(java.net.InetAddress.getLoopbackAddress(), callerPort)) {
       socket.setSoTimeout(10_000);
       socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
       socket.getOutputStream().flush();
-      if (end) {
+      if (shutDownOutput) {
         socket.shutdownOutput();
       }
       InputStream in = socket.getInputStream();
@@ -107,9 +110,9 @@
     }
   }
 
-  /** Sends one request on a connection of its own. */
+  /** Sends one request on a new connection and returns the response. */
   String send(String method, String path, String fields, String body) throws IOException {
-    return raw(
+    return sendRaw(
         method
             + ' '
             + path
@@ -120,7 +123,7 @@
             + body);
   }
 
-  /** Sets faults of all backend servers. */
+  /** Injects faults, given as JSON, into all backend servers. */
   void faults(String json) throws IOException {
     try (Socket socket = new Socket(java.net.InetAddress.getLoopbackAddress(), controlPort)) {
       String request =
