--- a/entry/src/main/java/org/magnoliaswitch/entry/EntryMetrics.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/EntryMetrics.java
@@ -70,7 +70,7 @@
     Gauge.builder("magnolia.keys", () -> control.ledger().size()).register(registry);
   }
 
-  @SuppressWarnings("resource") // never closed: the binder is needed until the process exits
+  @SuppressWarnings("resource") // Never closed, because it is needed until the process exits.
   private void bindGarbageCollectionMetrics() {
     new JvmGcMetrics().bindTo(registry);
   }
--- a/operator/src/main/java/org/magnoliaswitch/operator/ControlCommands.java
+++ b/operator/src/main/java/org/magnoliaswitch/operator/ControlCommands.java
@@ -18,18 +18,18 @@
 import org.magnoliaswitch.core.version.ConfigurationDiff;
 import org.magnoliaswitch.core.version.Json;
 
-/** The commands of {@code magnoliactl}; each returns what it prints. */
+/** The commands of {@code magnoliactl}. Each method returns the output of its command. */
 final class ControlCommands {
-  private static final int FAILED = 1;
-  private static final int MAX_TRIES = 5;
+  private static final int EXIT_FAILURE = 1;
+  private static final int MAX_ATTEMPTS = 5;
 
   /**
-   * Who changes what and why.
+   * Options of a command that changes the configuration.
    *
-   * @param changeId names the change
-   * @param author who
-   * @param note why
-   * @param rebase whether a raced change is planned again on top of the other one
+   * @param changeId identifier of the change, under which the platform accepts it at most once
+   * @param author author of the change
+   * @param note reason for the change
+   * @param rebase whether to reapply the change on top of another one that was accepted first
    */
   record ChangeOptions(String changeId, String author, String note, boolean rebase) {}
 
@@ -41,68 +41,72 @@
     this.json = json;
   }
 
+  /** Compares the declarations in a directory with the version in force. */
   String plan(Path directory) throws IOException, OperatorException {
     SortedMap<String, String> wanted = DeclarationDirectory.read(directory);
     DeclarationDirectory.check(wanted);
-    VersionView now = client.inForce();
-    List<String> lines = diff(now.parts(), wanted);
+    VersionView inForce = client.inForce();
+    List<String> lines = diff(inForce.parts(), wanted);
     if (json) {
-      return write(new Plan(now.version(), lines));
+      return toJson(new Plan(inForce.version(), lines));
     }
     return lines.isEmpty()
-        ? "no difference from version " + now.version()
-        : "against version " + now.version() + ":\n" + String.join("\n", lines);
+        ? "no difference from version " + inForce.version()
+        : "against version " + inForce.version() + ":\n" + String.join("\n", lines);
   }
 
   private record Plan(long baseVersion, List<String> differences) {}
 
+  /** Submits the declarations in a directory, unless they are already in force. */
   String apply(Path directory, ChangeOptions options) throws IOException, OperatorException {
     SortedMap<String, String> wanted = DeclarationDirectory.read(directory);
     DeclarationDirectory.check(wanted);
     VersionView base = client.inForce();
     if (base.parts().equals(wanted)) {
-      return result(
+      return describe(
           new ChangeReply(ChangeReply.Status.ALREADY_ACCEPTED, base.version(), List.of()));
     }
-    return change(base, wanted, options);
+    return submit(base, wanted, options);
   }
 
-  /** Changes one service's declaration in what is in force. */
+  /** Applies a change of one server to the declarations in force and submits the result. */
   String edit(ServerEdit edit, ChangeOptions options) throws IOException, OperatorException {
     VersionView base = client.inForce();
     SortedMap<String, String> wanted = new TreeMap<>(base.parts());
     edit.apply(wanted);
     DeclarationDirectory.check(wanted);
-    return change(base, wanted, options);
+    return submit(base, wanted, options);
   }
 
-  private String change(VersionView base, SortedMap<String, String> wanted, ChangeOptions options)
+  private String submit(VersionView base, SortedMap<String, String> wanted, ChangeOptions options)
       throws IOException, OperatorException {
     VersionView from = base;
     SortedMap<String, String> parts = wanted;
-    for (int attempt = 1; attempt <= MAX_TRIES; attempt++) {
-      ChangeReply reply = client.change(request(from, parts, options));
+    for (int attempt = 1; attempt <= MAX_ATTEMPTS; attempt++) {
+      ChangeReply reply = client.submit(request(from, parts, options));
       switch (reply.status()) {
         case ACCEPTED, ALREADY_ACCEPTED -> {
-          return result(reply);
+          return describe(reply);
         }
-        case INVALID -> throw new OperatorException(FAILED, lines("refused", reply.messages()));
+        case INVALID ->
+            throw new OperatorException(
+                EXIT_FAILURE, joinLines("rejected as invalid", reply.messages()));
         case UNDECIDED -> {
-          // The same change id makes the repetition harmless.
+          // Retrying is safe, because the platform accepts a change id at most once.
         }
         case RACED -> {
           if (!options.rebase()) {
-            throw raced(from, reply);
+            throw conflict(from, reply);
           }
-          VersionView other = current();
-          parts = Rebase.onto(from.parts(), parts, other.parts());
-          from = other;
+          VersionView latest = latestAccepted();
+          parts = Rebase.onto(from.parts(), parts, latest.parts());
+          from = latest;
         }
       }
     }
     throw new OperatorException(
-        FAILED,
-        "undecided: the platform did not say whether the change was accepted; repeat the command"
+        EXIT_FAILURE,
+        "undecided: the platform did not confirm or reject the change; repeat the command"
             + " with --change-id "
             + options.changeId());
   }
@@ -113,45 +117,46 @@
         from.version(), options.changeId(), options.author(), options.note(), parts);
   }
 
-  /** The latest accepted version, which may not be in force at the instance asked yet. */
-  private VersionView current() throws IOException {
+  /** Returns the latest accepted version, which may not yet be in force at the queried instance. */
+  private VersionView latestAccepted() throws IOException {
     List<ConfigurationStore.Head> history = client.history();
     return history.isEmpty() ? client.inForce() : client.accepted(history.getFirst().manifest());
   }
 
-  private OperatorException raced(VersionView from, ChangeReply reply) throws IOException {
-    List<String> others = diff(from.parts(), current().parts());
+  private OperatorException conflict(VersionView from, ChangeReply reply) throws IOException {
+    List<String> differences = diff(from.parts(), latestAccepted().parts());
     return new OperatorException(
-        FAILED,
-        lines(
+        EXIT_FAILURE,
+        joinLines(
             "raced: version "
                 + reply.version()
                 + " was accepted since version "
                 + from.version()
-                + "; use --rebase to plan on top of it. It changed",
-            others));
+                + "; use --rebase to reapply the change on top of it. Differences",
+            differences));
   }
 
+  /** Returns the status of the queried instance and of each peer that it knows. */
   String status() throws IOException {
-    InstanceStatus asked = client.status();
-    List<Member> members = new ArrayList<>(asked.peers());
-    members.add(asked.self());
+    InstanceStatus queried = client.status();
+    List<Member> members = new ArrayList<>(queried.peers());
+    members.add(queried.self());
     members.sort((a, b) -> a.instance().compareTo(b.instance()));
     Map<String, String> lines = new LinkedHashMap<>();
     for (Member member : members) {
-      lines.put(member.instance(), statusOf(member));
+      lines.put(member.instance(), memberStatus(member));
     }
     if (json) {
-      return write(lines);
+      return toJson(lines);
     }
     StringBuilder text = new StringBuilder();
-    lines.forEach((name, line) -> text.append(name).append(' ').append(line).append('\n'));
+    lines.forEach((instance, line) -> text.append(instance).append(' ').append(line).append('\n'));
     return text.toString().stripTrailing();
   }
 
-  private String statusOf(Member member) {
-    try (EntryClient other = client.at(member)) {
-      InstanceStatus status = other.status();
+  private String memberStatus(Member member) {
+    try (EntryClient memberClient = client.at(member)) {
+      InstanceStatus status = memberClient.status();
       return "version="
           + status.version()
           + " state="
@@ -165,6 +170,7 @@
     }
   }
 
+  /** Returns the latest accepted versions, newest first. */
   String history() throws IOException {
     List<ConfigurationStore.Head> heads = client.history();
     List<String> lines = new ArrayList<>();
@@ -180,13 +186,14 @@
               + " note="
               + view.note());
     }
-    return json ? write(lines) : String.join("\n", lines);
+    return json ? toJson(lines) : String.join("\n", lines);
   }
 
+  /** Returns the declarations in force. */
   String show() throws IOException {
     VersionView view = client.inForce();
     if (json) {
-      return write(view);
+      return toJson(view);
     }
     StringBuilder text = new StringBuilder("version " + view.version());
     view.parts()
@@ -194,14 +201,15 @@
     return text.toString();
   }
 
-  String leavingNow(String server) throws IOException {
-    client.leaving(server);
-    return json ? write(Map.of("leaving", server)) : server + " gets no new work";
+  /** Stops new requests to a server at once, without a change of the configuration. */
+  String drainNow(String server) throws IOException {
+    client.markLeaving(server);
+    return json ? toJson(Map.of("leaving", server)) : server + " receives no new requests";
   }
 
-  private String result(ChangeReply reply) throws JsonProcessingException {
+  private String describe(ChangeReply reply) throws JsonProcessingException {
     if (json) {
-      return write(reply);
+      return toJson(reply);
     }
     return switch (reply.status()) {
       case ACCEPTED -> "accepted as version " + reply.version();
@@ -215,11 +223,11 @@
         DeclarationDirectory.bytes(before), DeclarationDirectory.bytes(after));
   }
 
-  private static String lines(String head, List<String> lines) {
-    return head + ":\n" + String.join("\n", lines);
+  private static String joinLines(String title, List<String> lines) {
+    return title + ":\n" + String.join("\n", lines);
   }
 
-  private static String write(Object value) throws JsonProcessingException {
+  private static String toJson(Object value) throws JsonProcessingException {
     return Json.MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(value);
   }
 }
--- a/operator/src/main/java/org/magnoliaswitch/operator/EntryClient.java
+++ b/operator/src/main/java/org/magnoliaswitch/operator/EntryClient.java
@@ -23,7 +23,7 @@
 import org.magnoliaswitch.core.process.TimelineEvent;
 import org.magnoliaswitch.core.version.Json;
 
-/** Talks to the operators' listener of entry instances. */
+/** HTTP client of the operator API of entry instances. */
 public final class EntryClient implements AutoCloseable {
   private static final Timeout TIMEOUT = Timeout.ofSeconds(15);
   private static final int OK = 200;
@@ -36,8 +36,8 @@
   /**
    * Creates a client.
    *
-   * @param base operators' address of one instance
-   * @param token bearer token
+   * @param base URL of the operator port of one instance
+   * @param token bearer token of operators
    */
   public EntryClient(URI base, String token) {
     this.base = base;
@@ -49,47 +49,47 @@
             .build();
   }
 
-  /** The same client for another instance. */
+  /** Creates a client of another instance with the same token. */
   public EntryClient at(Member member) {
     return new EntryClient(
         URI.create("http://" + member.host() + ':' + member.operatorPort()), token);
   }
 
-  /** Status of the instance. */
+  /** Returns the status of the instance. */
   public InstanceStatus status() throws IOException {
-    return read(get("/status"), new TypeReference<>() {});
+    return parse(get("/status"), new TypeReference<>() {});
   }
 
-  /** The version in force at the instance. */
+  /** Returns the version in force at the instance, with all its declarations. */
   public VersionView inForce() throws IOException {
-    return read(get("/configuration"), new TypeReference<>() {});
+    return parse(get("/configuration"), new TypeReference<>() {});
   }
 
-  /** The latest accepted versions. */
+  /** Returns the latest accepted versions, newest first. */
   public List<ConfigurationStore.Head> history() throws IOException {
-    return read(get("/configuration/history"), new TypeReference<>() {});
+    return parse(get("/configuration/history"), new TypeReference<>() {});
   }
 
-  /** An accepted version. */
-  public VersionView accepted(String manifest) throws IOException {
-    return read(get("/configuration/manifests/" + manifest), new TypeReference<>() {});
+  /** Returns the accepted version whose manifest has this digest. */
+  public VersionView accepted(String digest) throws IOException {
+    return parse(get("/configuration/manifests/" + digest), new TypeReference<>() {});
   }
 
-  /** The recent events of the instance. */
+  /** Returns the recent events of the instance. */
   public List<TimelineEvent> timeline() throws IOException {
-    return read(get("/timeline"), new TypeReference<>() {});
+    return parse(get("/timeline"), new TypeReference<>() {});
   }
 
-  /** Asks for a change. */
-  public ChangeReply change(ChangeRequest change) throws IOException {
+  /** Submits a change of the configuration. */
+  public ChangeReply submit(ChangeRequest change) throws IOException {
     HttpPost post = new HttpPost(base.resolve("/configuration/changes"));
     post.setEntity(
         new ByteArrayEntity(Json.MAPPER.writeValueAsBytes(change), ContentType.APPLICATION_JSON));
-    return read(execute(post), new TypeReference<>() {});
+    return parse(execute(post), new TypeReference<>() {});
   }
 
-  /** Takes a server out at once. */
-  public void leaving(String server) throws IOException {
+  /** Stops new requests to a server at once, at the instance and its peers. */
+  public void markLeaving(String server) throws IOException {
     byte[] unused = execute(new HttpPost(base.resolve("/servers/" + server + "/leaving")));
   }
 
@@ -112,13 +112,13 @@
                   ? new byte[0]
                   : EntityUtils.toByteArray(response.getEntity());
           if (response.getCode() != OK && response.getCode() != NO_CONTENT) {
-            throw new IOException(base + " answered with status " + response.getCode());
+            throw new IOException(base + " responded with status " + response.getCode());
           }
           return body;
         });
   }
 
-  private static <T> T read(byte[] body, TypeReference<T> type) throws IOException {
+  private static <T> T parse(byte[] body, TypeReference<T> type) throws IOException {
     return Json.MAPPER.readValue(body, type);
   }
 }
--- a/operator/src/main/java/org/magnoliaswitch/operator/LogReader.java
+++ b/operator/src/main/java/org/magnoliaswitch/operator/LogReader.java
@@ -18,14 +18,14 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads the lines that instances write to standard output.
+ * Parses the log lines that instances write to standard output.
  *
- * <p>A collector may have put its own time in seconds and the process' name before each line; then
- * these count, since the time of day of a machine may jump. Otherwise the file's name is the
- * process'.
+ * <p>A log collector may prefix each line with its own time in seconds and with the name of the
+ * process. The prefix takes precedence over the time in the line, because the wall clock of a
+ * machine may jump. Without a prefix, the file name is used as the name of the process.
  */
 final class LogReader {
-  /** Standard input instead of a file. */
+  /** File name that stands for standard input. */
   static final String STANDARD_INPUT = "-";
 
   private static final Pattern LINE =
@@ -36,7 +36,7 @@
 
   private LogReader() {}
 
-  /** The events in files, in the order of their lines. */
+  /** Returns the events in the given files, in the order of their lines. */
   static List<TimelineEntry> read(List<String> files) throws IOException {
     List<TimelineEntry> entries = new ArrayList<>();
     for (String file : files) {
@@ -63,7 +63,12 @@
     }
   }
 
-  /** The event in a line; lines of other programs tell none. */
+  /**
+   * Parses the event in a line. Returns an empty result for lines of other programs.
+   *
+   * @param line line of a log
+   * @param name name of the process, used if the line has no prefix
+   */
   static Optional<TimelineEntry> parse(String line, String name) {
     Matcher matcher = LINE.matcher(line);
     if (!matcher.matches()) {
@@ -82,15 +87,15 @@
                 "instance=" + instance + " " + text));
   }
 
-  private static Optional<Long> micros(String collected, String own) {
-    if (collected != null) {
-      return Optional.of(Math.round(Double.parseDouble(collected) * MICROS_PER_SECOND));
+  private static Optional<Long> micros(String collectorTime, String lineTime) {
+    if (collectorTime != null) {
+      return Optional.of(Math.round(Double.parseDouble(collectorTime) * MICROS_PER_SECOND));
     }
     try {
-      Instant time = Instant.parse(own);
+      Instant time = Instant.parse(lineTime);
       return Optional.of(time.getEpochSecond() * 1_000_000 + time.getNano() / 1_000);
     } catch (DateTimeException e) {
-      // Another program's line that happens to look alike.
+      // A line of another program that happens to match the pattern.
       return Optional.empty();
     }
   }
--- a/operator/src/main/java/org/magnoliaswitch/operator/OperatorException.java
+++ b/operator/src/main/java/org/magnoliaswitch/operator/OperatorException.java
@@ -1,6 +1,6 @@
 package org.magnoliaswitch.operator;
 
-/** Thrown when a command cannot do its work; the message is printed as it is. */
+/** Thrown when a command fails. The message is printed to the operator unchanged. */
 public final class OperatorException extends Exception {
   private final int exitCode;
 
@@ -9,7 +9,7 @@
     this.exitCode = exitCode;
   }
 
-  /** Exit code of the process: 1 for failures, 2 for unusable arguments. */
+  /** Returns the exit code of the process: 1 for a failure, 2 for invalid arguments. */
   public int exitCode() {
     return exitCode;
   }
--- a/operator/src/main/java/org/magnoliaswitch/operator/Rebase.java
+++ b/operator/src/main/java/org/magnoliaswitch/operator/Rebase.java
@@ -6,35 +6,39 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Plans a change again on top of another one that came first. */
+/** Reapplies a change on top of another one that was accepted first. */
 final class Rebase {
-  private static final int FAILED = 1;
+  private static final int EXIT_FAILURE = 1;
 
   private Rebase() {}
 
   /**
-   * Applies the difference from base to wanted onto what the other change left.
+   * Applies the difference between base and wanted to the declarations after the other change.
    *
-   * @throws OperatorException when both changed the same declaration; it is never merged in silence
+   * @param base declarations before both changes
+   * @param wanted declarations after the change to reapply
+   * @param other declarations after the other change
+   * @throws OperatorException if both changes modify the same declaration in different ways, since
+   *     such changes must not be merged silently
    */
   static SortedMap<String, String> onto(
       Map<String, String> base, Map<String, String> wanted, Map<String, String> other)
       throws OperatorException {
-    SortedMap<String, String> result = new TreeMap<>(other);
+    SortedMap<String, String> rebased = new TreeMap<>(other);
     TreeSet<String> paths = new TreeSet<>(base.keySet());
     paths.addAll(wanted.keySet());
     for (String path : paths) {
-      boolean changedHere = !Objects.equals(base.get(path), wanted.get(path));
-      boolean changedThere = !Objects.equals(base.get(path), other.get(path));
-      if (changedHere && changedThere && !Objects.equals(wanted.get(path), other.get(path))) {
-        throw new OperatorException(FAILED, "cannot rebase: both changes touch " + path);
+      boolean changedByThis = !Objects.equals(base.get(path), wanted.get(path));
+      boolean changedByOther = !Objects.equals(base.get(path), other.get(path));
+      if (changedByThis && changedByOther && !Objects.equals(wanted.get(path), other.get(path))) {
+        throw new OperatorException(EXIT_FAILURE, "cannot rebase: both changes modify " + path);
       }
-      if (changedHere && wanted.containsKey(path)) {
-        result.put(path, wanted.get(path));
-      } else if (changedHere) {
-        result.remove(path);
+      if (changedByThis && wanted.containsKey(path)) {
+        rebased.put(path, wanted.get(path));
+      } else if (changedByThis) {
+        rebased.remove(path);
       }
     }
-    return result;
+    return rebased;
   }
 }
--- a/operator/src/main/java/org/magnoliaswitch/operator/ServerEdit.java
+++ b/operator/src/main/java/org/magnoliaswitch/operator/ServerEdit.java
@@ -9,14 +9,14 @@
 import org.magnoliaswitch.core.version.ServerState;
 import org.magnoliaswitch.core.version.Service;
 
-/** A change of one backend server in the declarations. */
+/** A change of one backend server in the declarations of its service. */
 sealed interface ServerEdit {
-  int FAILED = 1;
+  int EXIT_FAILURE = 1;
 
-  /** Stops new work to a server. */
+  /** Stops new requests to a server. */
   record Drain(String server, boolean confirmed) implements ServerEdit {}
 
-  /** Puts a draining server back to work. */
+  /** Resumes requests to a draining server. */
   record Activate(String server) implements ServerEdit {}
 
   /** Removes a server. */
@@ -25,26 +25,28 @@
   /** Adds a server to a service. */
   record Add(String service, BackendServer server) implements ServerEdit {}
 
-  /** Changes the declarations. */
+  /** Applies the change to the declarations, a map from path to JSON text. */
   default void apply(Map<String, String> parts) throws OperatorException {
-    boolean found = false;
+    boolean changed = false;
     for (Map.Entry<String, String> part : parts.entrySet()) {
       if (part.getKey().startsWith("services/")) {
         Service before = read(part);
-        List<BackendServer> servers = edited(before);
+        List<BackendServer> servers = editServers(before);
         if (!servers.equals(before.servers())) {
-          guard(before, servers);
+          checkDrainShare(before, servers);
           part.setValue(write(before.withServers(servers)));
-          found = true;
+          changed = true;
         }
       }
     }
-    if (!found) {
-      throw new OperatorException(FAILED, "nothing to change: no such server, or it is so already");
+    if (!changed) {
+      throw new OperatorException(
+          EXIT_FAILURE,
+          "nothing to change: no such server or service, or it is already in this state");
     }
   }
 
-  private List<BackendServer> edited(Service service) {
+  private List<BackendServer> editServers(Service service) {
     List<BackendServer> servers = new ArrayList<>();
     for (BackendServer server : service.servers()) {
       switch (this) {
@@ -53,7 +55,7 @@
         case Activate activate when server.id().equals(activate.server()) ->
             servers.add(server.withState(ServerState.ACTIVE));
         case Retire retire when server.id().equals(retire.server()) -> {
-          // Left out.
+          // The server is removed by not adding it.
         }
         default -> servers.add(server);
       }
@@ -64,19 +66,19 @@
     return servers;
   }
 
-  private void guard(Service before, List<BackendServer> after) throws OperatorException {
+  private void checkDrainShare(Service before, List<BackendServer> after) throws OperatorException {
     long active = after.stream().filter(s -> s.state() == ServerState.ACTIVE).count();
-    double gone = 1 - (double) active / Math.max(1, before.servers().size());
-    if (!confirmed() && gone > before.maxDrainShare()) {
+    double inactiveShare = 1 - (double) active / Math.max(1, before.servers().size());
+    if (!confirmed() && inactiveShare > before.maxDrainShare()) {
       throw new OperatorException(
-          FAILED,
-          "this leaves "
+          EXIT_FAILURE,
+          "only "
               + active
               + " of "
               + before.servers().size()
               + " servers of "
               + before.name()
-              + " at work, fewer than maxDrainShare allows; repeat with --yes if it is meant");
+              + " would stay active, fewer than maxDrainShare allows; repeat with --yes to confirm");
     }
   }
 
@@ -93,7 +95,8 @@
     try {
       return Json.MAPPER.readValue(part.getValue(), Service.class);
     } catch (IOException e) {
-      throw new OperatorException(FAILED, "unreadable " + part.getKey() + ": " + e.getMessage());
+      throw new OperatorException(
+          EXIT_FAILURE, "cannot parse " + part.getKey() + ": " + e.getMessage());
     }
   }
 
@@ -101,7 +104,7 @@
     try {
       return Json.MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(service) + '\n';
     } catch (IOException e) {
-      throw new IllegalStateException("a service is always writable as JSON", e);
+      throw new IllegalStateException("a service must be serializable as JSON", e);
     }
   }
 }
--- a/operator/src/main/java/org/magnoliaswitch/operator/ServiceSecond.java
+++ b/operator/src/main/java/org/magnoliaswitch/operator/ServiceSecond.java
@@ -4,68 +4,69 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What became of the requests of one service that ended in one second. */
+/** Counters of the requests of one service that ended within one second. */
 final class ServiceSecond {
   private static final double MICROS_PER_MILLI = 1_000;
 
   private int requests;
   private int inTime;
   private int late;
-  private int left;
-  private int furtherSends;
+  private int callerLeft;
+  private int furtherAttempts;
   private double slotMicros;
   private double unusedMicros;
   private double undisturbedMicros;
-  private int undisturbed;
+  private int undisturbedAttempts;
   private final Map<String, Integer> unserved = new TreeMap<>();
 
-  /** Counts a request that was answered. */
-  void answered(boolean inObjective) {
+  /** Counts an answered request. */
+  void addAnswered(boolean withinObjective) {
     requests++;
-    inTime += inObjective ? 1 : 0;
-    late += inObjective ? 0 : 1;
+    inTime += withinObjective ? 1 : 0;
+    late += withinObjective ? 0 : 1;
   }
 
-  /** Counts a request whose caller left before it was answered. */
-  void callerLeft() {
+  /** Counts a request whose caller disconnected before the response. */
+  void addCallerLeft() {
     requests++;
-    left++;
+    callerLeft++;
   }
 
-  /** Counts a request that ended otherwise. */
-  void unserved(String outcome) {
+  /** Counts a request that ended with another outcome. */
+  void addUnserved(String outcome) {
     requests++;
     unserved.merge(outcome, 1, Integer::sum);
   }
 
   /**
-   * Counts the time from a send to the end of its request.
+   * Counts an attempt.
    *
-   * @param used whether its answer reached the caller
-   * @param further whether the request had been sent before
-   * @param fast whether the server said that it was undisturbed
+   * @param micros slot time from the start of the attempt to the end of its request
+   * @param used whether the response of the attempt reached the caller
+   * @param further whether it is a retry or a hedge
+   * @param undisturbedServer whether the server reported that it was undisturbed
    */
-  void sent(double micros, boolean used, boolean further, boolean fast) {
-    furtherSends += further ? 1 : 0;
+  void addAttempt(double micros, boolean used, boolean further, boolean undisturbedServer) {
+    furtherAttempts += further ? 1 : 0;
     slotMicros += micros;
     unusedMicros += used ? 0 : micros;
-    if (used && fast) {
+    if (used && undisturbedServer) {
       undisturbedMicros += micros;
-      undisturbed++;
+      undisturbedAttempts++;
     }
   }
 
-  /** Adds what another second counted. */
+  /** Adds the counters of another second. */
   void add(ServiceSecond other) {
     requests += other.requests;
     inTime += other.inTime;
     late += other.late;
-    left += other.left;
-    furtherSends += other.furtherSends;
+    callerLeft += other.callerLeft;
+    furtherAttempts += other.furtherAttempts;
     slotMicros += other.slotMicros;
     unusedMicros += other.unusedMicros;
     undisturbedMicros += other.undisturbedMicros;
-    undisturbed += other.undisturbed;
+    undisturbedAttempts += other.undisturbedAttempts;
     other.unserved.forEach((outcome, count) -> unserved.merge(outcome, count, Integer::sum));
   }
 
@@ -77,12 +78,13 @@
     return inTime;
   }
 
-  /** The counts as pairs; slot time is in milliseconds for each answer. */
+  /** Returns the counters as key=value pairs. Slot time is in milliseconds per answered request. */
   String text() {
-    int answers = inTime + late;
-    double each = answers == 0 ? 0 : slotMicros / answers / MICROS_PER_MILLI;
-    double usual = undisturbed == 0 ? 0 : undisturbedMicros / undisturbed / MICROS_PER_MILLI;
-    double unused = slotMicros == 0 ? 0 : unusedMicros / slotMicros;
+    int answered = inTime + late;
+    double slotMillis = answered == 0 ? 0 : slotMicros / answered / MICROS_PER_MILLI;
+    double undisturbedMillis =
+        undisturbedAttempts == 0 ? 0 : undisturbedMicros / undisturbedAttempts / MICROS_PER_MILLI;
+    double unusedShare = slotMicros == 0 ? 0 : unusedMicros / slotMicros;
     return String.format(
         Locale.ROOT,
         "requests=%d in_time=%d late=%d left=%d further_sends=%d slot_ms=%.0f undisturbed_ms=%.0f"
@@ -90,11 +92,11 @@
         requests,
         inTime,
         late,
-        left,
-        furtherSends,
-        each,
-        usual,
-        unused,
+        callerLeft,
+        furtherAttempts,
+        slotMillis,
+        undisturbedMillis,
+        unusedShare,
         unserved.toString().replace(" ", ""));
   }
 }
--- a/operator/src/main/java/org/magnoliaswitch/operator/TimelineEntry.java
+++ b/operator/src/main/java/org/magnoliaswitch/operator/TimelineEntry.java
@@ -5,13 +5,13 @@
 import org.magnoliaswitch.core.process.TimelineEvent;
 
 /**
- * One event of a time line, from an instance's memory or from its log.
+ * One event of a timeline, queried from an instance or parsed from its log.
  *
- * @param micros when it happened, in microseconds since the epoch or since a collector's start
- * @param instance process that told it
- * @param event what happened
- * @param pairs further keys and values
- * @param line the event as text
+ * @param micros time in microseconds since the epoch, or since the start of the log collector
+ * @param instance name of the process that recorded the event
+ * @param event kind of the event
+ * @param pairs further fields of the event
+ * @param line the event as a line of text
  */
 record TimelineEntry(
     long micros, String instance, String event, Map<String, String> pairs, String line) {
@@ -34,7 +34,7 @@
     return Math.floorDiv(micros, MICROS_PER_MILLI);
   }
 
-  /** The value of a key, or an empty text. */
+  /** Returns the value of a field, or an empty string if the event does not have it. */
   String value(String key) {
     return pairs.getOrDefault(key, "");
   }
--- a/operator/src/main/java/org/magnoliaswitch/operator/TimelineFilter.java
+++ b/operator/src/main/java/org/magnoliaswitch/operator/TimelineFilter.java
@@ -3,14 +3,14 @@
 import java.util.Locale;
 
 /**
- * Which events to show; empty texts select all.
+ * Criteria that an event must match to be shown. An empty string matches all events.
  *
  * @param request request id
- * @param server backend server id
- * @param service service name
- * @param kind event kind
- * @param fromMillis earliest time
- * @param toMillis latest time
+ * @param server id of a backend server
+ * @param service name of a service
+ * @param kind kind of event, in any case
+ * @param fromMillis earliest time, inclusive
+ * @param toMillis latest time, inclusive
  */
 record TimelineFilter(
     String request, String server, String service, String kind, long fromMillis, long toMillis) {
@@ -23,7 +23,7 @@
         && entry.millis() <= toMillis;
   }
 
-  private static boolean matches(String wanted, String found) {
-    return wanted.isEmpty() || wanted.equals(found);
+  private static boolean matches(String expected, String actual) {
+    return expected.isEmpty() || expected.equals(actual);
   }
 }
--- a/operator/src/main/java/org/magnoliaswitch/operator/TimelineMain.java
+++ b/operator/src/main/java/org/magnoliaswitch/operator/TimelineMain.java
@@ -17,30 +17,37 @@
 import org.magnoliaswitch.core.process.Version;
 import org.magnoliaswitch.core.version.Json;
 
-/** Command line of {@code magnolia-timeline}: events of all instances in one order. */
+/**
+ * Command line interface of {@code magnolia-timeline}, which merges the events of all instances.
+ */
 public final class TimelineMain {
-  private static final int FAILED = 1;
-  private static final int USAGE = 2;
+  private static final int EXIT_FAILURE = 1;
+  private static final int EXIT_USAGE = 2;
 
   private final OptionParser parser = new OptionParser();
   private final OptionSpec<String> entry =
       parser
-          .accepts("entry", "operators' address of any instance")
+          .accepts("entry", "URL of the operator port of any instance")
           .withRequiredArg()
           .defaultsTo("http://127.0.0.1:7101");
   private final OptionSpec<String> token =
-      parser.accepts("token-file", "file with the bearer token").withRequiredArg();
+      parser.accepts("token-file", "file with the bearer token of operators").withRequiredArg();
   private final OptionSpec<String> logs =
       parser
-          .accepts("logs", "files with the output of instances instead, - for standard input")
+          .accepts("logs", "log files to read instead of querying instances; - for standard input")
           .withRequiredArg()
           .withValuesSeparatedBy(',');
   private final OptionSpec<String> format =
-      parser.accepts("output", "text, json or html").withRequiredArg().defaultsTo("text");
-  private final OptionSpec<String> request = filter("request", "only this request id");
-  private final OptionSpec<String> server = filter("server", "only this backend server");
-  private final OptionSpec<String> service = filter("service", "only this service");
-  private final OptionSpec<String> kind = filter("kind", "only this kind of event");
+      parser
+          .accepts("output", "output format: text, json or html")
+          .withRequiredArg()
+          .defaultsTo("text");
+  private final OptionSpec<String> request =
+      filter("request", "show only events of this request id");
+  private final OptionSpec<String> server =
+      filter("server", "show only events of this backend server");
+  private final OptionSpec<String> service = filter("service", "show only events of this service");
+  private final OptionSpec<String> kind = filter("kind", "show only this kind of event");
   private final OptionSpec<Long> from =
       parser
           .accepts("from", "earliest time in milliseconds since the epoch")
@@ -54,26 +61,30 @@
           .ofType(Long.class)
           .defaultsTo(Long.MAX_VALUE);
   private final OptionSpec<Void> summary =
-      parser.accepts("summary", "requests and slot time per service and second, of --logs");
-  private final OptionSpec<Void> help = parser.accepts("help", "print this text").forHelp();
+      parser.accepts(
+          "summary", "summarize the requests and slot time in --logs per service and second");
+  private final OptionSpec<Void> help = parser.accepts("help", "print this help").forHelp();
   private final OptionSpec<Void> version = parser.accepts("version", "print the version").forHelp();
 
   private TimelineMain() {}
 
-  /** Prints the time line; exits with 0, 1 for failures or 2 for unusable arguments. */
+  /**
+   * Prints the timeline. Exits with 0 on success, 1 on failure and 2 if the arguments are invalid.
+   */
   public static void main(String[] arguments) throws IOException {
     System.exit(new TimelineMain().run(arguments));
   }
 
-  private OptionSpec<String> filter(String name, String text) {
-    return parser.accepts(name, text).withRequiredArg().defaultsTo("");
+  private OptionSpec<String> filter(String name, String description) {
+    return parser.accepts(name, description).withRequiredArg().defaultsTo("");
   }
 
   private int run(String[] arguments) throws IOException {
     try {
       OptionSet options = parser.parse(arguments);
       if (options.has(help)) {
-        System.out.println("magnolia-timeline: events of all instances in one order\n");
+        System.out.println(
+            "magnolia-timeline: prints the events of all instances in the order of their times\n");
         parser.printHelpOn(System.out);
         return 0;
       }
@@ -82,14 +93,14 @@
         return 0;
       }
       if (!options.has(token) && !options.has(logs)) {
-        return fail(USAGE, "--token-file or --logs is needed; see --help");
+        return fail(EXIT_USAGE, "missing required option --token-file or --logs; see --help");
       }
       print(options);
       return 0;
     } catch (OptionException e) {
-      return fail(USAGE, e.getMessage() + "; see --help");
+      return fail(EXIT_USAGE, e.getMessage() + "; see --help");
     } catch (IOException e) {
-      return fail(FAILED, "cannot read the events: " + e.getMessage());
+      return fail(EXIT_FAILURE, "cannot read the events: " + e.getMessage());
     }
   }
 
@@ -103,12 +114,13 @@
             options.valueOf(from),
             options.valueOf(to));
     List<TimelineEntry> events =
-        new ArrayList<>(options.has(logs) ? read(options) : gather(options));
+        new ArrayList<>(options.has(logs) ? readLogs(options) : queryInstances(options));
     events.removeIf(event -> !filter.selects(event));
     events.sort(Comparator.comparingLong(TimelineEntry::micros));
     if (options.has(summary)) {
-      LoadSummary load = LoadSummary.of(events);
-      System.out.print(options.valueOf(format).equals("html") ? load.html() : load.text());
+      LoadSummary loadSummary = LoadSummary.of(events);
+      System.out.print(
+          options.valueOf(format).equals("html") ? loadSummary.html() : loadSummary.text());
       return;
     }
     switch (options.valueOf(format)) {
@@ -122,23 +134,23 @@
     }
   }
 
-  private List<TimelineEntry> read(OptionSet options) throws IOException {
+  private List<TimelineEntry> readLogs(OptionSet options) throws IOException {
     return LogReader.read(options.valuesOf(logs));
   }
 
-  private List<TimelineEntry> gather(OptionSet options) throws IOException {
+  private List<TimelineEntry> queryInstances(OptionSet options) throws IOException {
     List<TimelineEvent> events = new ArrayList<>();
     String secret = Files.readString(Path.of(options.valueOf(token))).strip();
     try (EntryClient client = new EntryClient(URI.create(options.valueOf(entry)), secret)) {
-      InstanceStatus asked = client.status();
-      List<Member> members = new ArrayList<>(asked.peers());
-      members.add(asked.self());
+      InstanceStatus queried = client.status();
+      List<Member> members = new ArrayList<>(queried.peers());
+      members.add(queried.self());
       for (Member member : members) {
-        try (EntryClient other = client.at(member)) {
-          events.addAll(other.timeline());
+        try (EntryClient memberClient = client.at(member)) {
+          events.addAll(memberClient.timeline());
         } catch (IOException e) {
           System.err.println(
-              "magnolia-timeline: " + member.instance() + " left out: " + e.getMessage());
+              "magnolia-timeline: " + member.instance() + " skipped: " + e.getMessage());
         }
       }
     }
--- a/operator/src/main/java/org/magnoliaswitch/operator/TimelinePage.java
+++ b/operator/src/main/java/org/magnoliaswitch/operator/TimelinePage.java
@@ -4,12 +4,12 @@
 import java.util.List;
 import java.util.TreeSet;
 
-/** A self-contained HTML page with one lane per process. */
+/** Renders events as a self-contained HTML page with one lane per process. */
 final class TimelinePage {
   private static final int LANE_HEIGHT = 36;
   private static final int WIDTH = 1_200;
-  private static final int LEFT = 160;
-  private static final int COLOURS = 360;
+  private static final int LABEL_WIDTH = 160;
+  private static final int HUE_COUNT = 360;
 
   private TimelinePage() {}
 
@@ -18,7 +18,7 @@
         new ArrayList<>(new TreeSet<>(events.stream().map(TimelineEntry::instance).toList()));
     long first = events.isEmpty() ? 0 : events.getFirst().millis();
     long last = events.isEmpty() ? 1 : events.getLast().millis();
-    double scale = (double) (WIDTH - LEFT - 20) / Math.max(1, last - first);
+    double scale = (double) (WIDTH - LABEL_WIDTH - 20) / Math.max(1, last - first);
     StringBuilder page = new StringBuilder();
     page.append(
             "<!DOCTYPE html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>time line</title>")
@@ -35,12 +35,12 @@
           .append(
               String.format(
                   "<line x1=\"%d\" y1=\"%d\" x2=\"%d\" y2=\"%d\" stroke=\"#bbb\"/>",
-                  LEFT, y, WIDTH, y));
+                  LABEL_WIDTH, y, WIDTH, y));
     }
     for (TimelineEntry event : events) {
-      double x = LEFT + (event.millis() - first) * scale;
+      double x = LABEL_WIDTH + (event.millis() - first) * scale;
       int y = 20 + lanes.indexOf(event.instance()) * LANE_HEIGHT;
-      int hue = Math.floorMod(event.event().hashCode(), COLOURS);
+      int hue = Math.floorMod(event.event().hashCode(), HUE_COUNT);
       page.append(
               String.format(
                   "<circle cx=\"%.1f\" cy=\"%d\" r=\"4\" fill=\"hsl(%d,70%%,45%%)\">", x, y, hue))
--- a/operator/src/main/java/org/magnoliaswitch/operator/TimelineText.java
+++ b/operator/src/main/java/org/magnoliaswitch/operator/TimelineText.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import org.magnoliaswitch.core.process.TimelineEvent;
 
-/** One line of key=value pairs for an event. */
+/** Formats an event as one line of key=value pairs. */
 final class TimelineText {
   private TimelineText() {}
 
--- a/operator/src/main/java/org/magnoliaswitch/operator/package-info.java
+++ b/operator/src/main/java/org/magnoliaswitch/operator/package-info.java
@@ -1,4 +1,4 @@
-/** Operators' programs: {@code magnoliactl} and {@code magnolia-timeline}. */
+/** Command line tools for operators: {@code magnoliactl} and {@code magnolia-timeline}. */
 @NullMarked
 package org.magnoliaswitch.operator;
 
--- a/operator/src/test/java/org/magnoliaswitch/operator/LogReaderTest.java
+++ b/operator/src/test/java/org/magnoliaswitch/operator/LogReaderTest.java
@@ -11,12 +11,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Time lines made of the logs of instances. */
+/** Checks parsing and filtering of events in the logs of instances. */
 public final class LogReaderTest {
   private static final String SEND =
       "time=2026-03-02T10:00:01.500Z level=INFO event=send request=r1 server=i-1 left_ms=970";
 
-  /** Each row: a line, the instance and the microseconds it should give. */
+  /** Each row: a line, and the expected instance and time in microseconds. */
   @DataProvider
   public Object[][] lines() {
     return new Object[][] {
@@ -28,7 +28,7 @@
   }
 
   @Test(dataProvider = "lines")
-  public void aLineTellsWhoSaidItAndWhen(String line, String instance, long micros) {
+  public void instanceAndTimeAreParsed(String line, String instance, long micros) {
     TimelineEntry entry = LogReader.parse(line, "front-1").orElseThrow();
     assertEquals(entry.instance(), instance);
     assertEquals(entry.micros(), micros);
@@ -37,16 +37,18 @@
   }
 
   @DataProvider
-  public Object[][] strangers() {
+  public Object[][] otherLines() {
     return new Object[][] {{""}, {"time= level"}, {"time=yesterday event=x"}, {"Exception in"}};
   }
 
-  @Test(dataProvider = "strangers")
-  public void linesOfOtherProgramsTellNothing(String line) {
+  @Test(dataProvider = "otherLines")
+  public void linesOfOtherProgramsAreIgnored(String line) {
     assertTrue(LogReader.parse(line, "x").isEmpty());
   }
 
-  /** A caller's own text with spaces is one value, and cannot pass for a further pair. */
+  /**
+   * A quoted value chosen by a caller may contain spaces and must not be parsed as another field.
+   */
   @Test
   public void aQuotedValueIsOneValue() {
     String line = "time=2026-03-02T10:00:01Z level=INFO event=end request=\"a b=c\" status=503";
@@ -56,7 +58,7 @@
   }
 
   @Test
-  public void filesAreReadUnderTheirNames() throws IOException {
+  public void fileNameIsTheInstanceName() throws IOException {
     Path directory = Files.createTempDirectory("logs");
     Path file = Files.writeString(directory.resolve("front-7.log"), SEND + "\nnoise\n");
     List<TimelineEntry> entries = LogReader.read(List.of(file.toString()));
@@ -64,7 +66,7 @@
     assertEquals(entries.getFirst().instance(), "front-7");
   }
 
-  /** An engineer asks for one request's story over all instances, or for all that met a server. */
+  /** Events can be selected by the request they belong to, or by a server of their request. */
   @Test
   public void aFilterFindsRequestsAndServersInLogs() {
     TimelineEntry send = LogReader.parse(SEND, "x").orElseThrow();
