--- a/entry/src/test/java/org/magnoliaswitch/entry/CallerContractTest.java
+++ b/entry/src/test/java/org/magnoliaswitch/entry/CallerContractTest.java
@@ -188,8 +188,8 @@
   }
 
   /**
-   * Guards against a 404 for a service that the entry does not know yet: the caller would take it
-   * as final. An isolated entry must response with 503 instead.
+   * Guards against a 404 for a service that an isolated entry does not know yet. The caller would
+   * take it as final, so the entry must answer with 503.
    */
   @Test(timeOut = 60_000)
   public void anIsolatedEntryDoesNotReportAnUnknownPath() throws Exception {
