--- a/front/src/test/java/org/magnoliaswitch/front/testing/TestEnvironment.java
+++ b/front/src/test/java/org/magnoliaswitch/front/testing/TestEnvironment.java
@@ -91,7 +91,9 @@
 
   /** Settings of an instance with a peer address and seeds. */
   public static FrontSettings settings(
-      InetSocketAddress peers, List<InetSocketAddress> seeds, SharedRetryBudget.Limits retryBudget) {
+      InetSocketAddress peers,
+      List<InetSocketAddress> seeds,
+      SharedRetryBudget.Limits retryBudget) {
     InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
     return new FrontSettings(
         "t",
