--- a/core/src/test/java/org/magnoliaswitch/core/request/DispatcherTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/request/DispatcherTest.java
@@ -248,7 +248,7 @@
       try (TestSystem system =
           new TestSystem(1, n -> n == 0 ? new Action.Hang() : new Action.Send(COMPLETE))) {
         system.send(Declarations.READ, 50);
-        assertEquals(system.send(Declarations.READ, 500).status(), 200);
+        assertEquals(system.send(Declarations.READ, 10_000).status(), 200);
         assertEquals(system.connections(), 2);
       }
     }
