--- a/bench/src/main/java/org/magnoliaswitch/bench/model/Ablation.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/Ablation.java
@@ -8,50 +8,54 @@
 import org.magnoliaswitch.front.load.Mechanism;
 
 /**
- * What each mechanism is worth: plays with all of them beside plays with one switched off, pattern
- * by pattern and seed by seed.
+ * Estimates the effect of each mechanism: compares replays with all mechanisms enabled and replays
+ * with one mechanism disabled, by pattern and seed.
  */
 final class Ablation {
-  /** A mean gain this many standard errors away from zero is told from luck. */
-  private static final double SURE = 2;
+  /** A mean gain at least this many standard errors away from zero counts as significant. */
+  private static final double MIN_STANDARD_ERRORS = 2;
 
   private Ablation() {}
 
   /**
-   * What one mechanism brings.
+   * The effect of one mechanism.
    *
-   * @param credit mean gain of the value that callers got
-   * @param worst mean gain of the value in the two worst seconds
-   * @param error standard error of the latter
-   * @param best pattern in which it brings most of the latter
-   * @param bestGain gain there
+   * @param credit mean gain of the value of the answers that callers received
+   * @param worstSeconds mean gain of the value in the two worst seconds
+   * @param error standard error of {@code worstSeconds}
+   * @param best pattern with the largest gain in the two worst seconds
+   * @param bestGain mean gain in that pattern
    */
-  record Gain(double credit, double worst, double error, String best, double bestGain) {
-    boolean something() {
-      return worst > SURE * error;
+  record Gain(double credit, double worstSeconds, double error, String best, double bestGain) {
+    boolean helps() {
+      return worstSeconds > MIN_STANDARD_ERRORS * error;
     }
 
     boolean harmful() {
-      return worst < -SURE * error;
+      return worstSeconds < -MIN_STANDARD_ERRORS * error;
     }
   }
 
-  /** Plays all patterns without each mechanism, and prints a line for each and a closing one. */
-  static void run(List<Pattern> patterns, int seeds) {
-    Map<Pattern, List<Scoreboard.Result>> current = new HashMap<>();
-    patterns.forEach(pattern -> current.put(pattern, Replay.each(pattern, Way.CURRENT, seeds)));
-    int something = 0;
+  /**
+   * Replays all patterns without each mechanism, and prints a line for each mechanism and a summary
+   * line.
+   */
+  static void run(List<LoadPattern> patterns, int seeds) {
+    Map<LoadPattern, List<ReplayMetrics.Result>> current = new HashMap<>();
+    patterns.forEach(
+        pattern -> current.put(pattern, Replay.runSeeds(pattern, PolicyVariant.CURRENT, seeds)));
+    int helpful = 0;
     int harmful = 0;
     for (Mechanism mechanism : Mechanism.values()) {
       Gain gain = gain(mechanism, current, patterns, seeds);
-      something += gain.something() ? 1 : 0;
+      helpful += gain.helps() ? 1 : 0;
       harmful += gain.harmful() ? 1 : 0;
       System.out.printf(
           Locale.ROOT,
           "%-20s credit=%+.4f worst_seconds=%+.4f standard_error=%.4f most=%+.4f pattern=%s%n",
           mechanism.name().toLowerCase(Locale.ROOT),
           gain.credit(),
-          gain.worst(),
+          gain.worstSeconds(),
           gain.error(),
           gain.bestGain(),
           gain.best());
@@ -59,25 +63,26 @@
     int all = Mechanism.values().length;
     System.out.printf(
         "ablation: mechanisms=%d worth_something=%d worth_nothing=%d harmful=%d%n",
-        all, something, all - something - harmful, harmful);
+        all, helpful, all - helpful - harmful, harmful);
   }
 
   private static Gain gain(
       Mechanism mechanism,
-      Map<Pattern, List<Scoreboard.Result>> current,
-      List<Pattern> patterns,
+      Map<LoadPattern, List<ReplayMetrics.Result>> current,
+      List<LoadPattern> patterns,
       int seeds) {
     List<Double> credits = new ArrayList<>();
-    List<Double> worst = new ArrayList<>();
+    List<Double> worstSeconds = new ArrayList<>();
     String best = "-";
     double bestGain = Double.NEGATIVE_INFINITY;
-    for (Pattern pattern : patterns) {
-      List<Scoreboard.Result> without = Replay.each(pattern, Way.without(mechanism), seeds);
+    for (LoadPattern pattern : patterns) {
+      List<ReplayMetrics.Result> without =
+          Replay.runSeeds(pattern, PolicyVariant.without(mechanism), seeds);
       double sum = 0;
       for (int i = 0; i < seeds; i++) {
-        Scoreboard.Result with = current.get(pattern).get(i);
+        ReplayMetrics.Result with = current.get(pattern).get(i);
         credits.add(with.credit() - without.get(i).credit());
-        worst.add(with.worstSecond() - without.get(i).worstSecond());
+        worstSeconds.add(with.worstSecond() - without.get(i).worstSecond());
         sum += with.worstSecond() - without.get(i).worstSecond();
       }
       if (sum / seeds > bestGain) {
@@ -85,7 +90,7 @@
         best = pattern.name();
       }
     }
-    return new Gain(mean(credits), mean(worst), standardError(worst), best, bestGain);
+    return new Gain(mean(credits), mean(worstSeconds), standardError(worstSeconds), best, bestGain);
   }
 
   private static double mean(List<Double> values) {
--- a/bench/src/main/java/org/magnoliaswitch/bench/model/Deployment.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/Deployment.java
@@ -5,18 +5,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How many instances and servers there are, and what callers want of them.
+ * The instances and servers of a simulation and the requests that callers send to them.
  *
- * @param instances instances that do not see each other
- * @param servers services with their numbers of servers; in a fixed order, or a seed would not
- *     repeat
- * @param traits how the servers behave
+ * @param instances number of instances; they do not communicate with each other
+ * @param servers services with their numbers of servers; a list, because a replay of a seed repeats
+ *     only if the order is fixed
+ * @param traits behaviour of the servers
  * @param kinds kinds of requests
- * @param probesPerServer health checks a second that a server gets of all instances together
- * @param repeatSlack further sends that a service may get in ten seconds besides its share of the
- *     requests
- * @param patienceSpread share of the longest wait by which callers differ
- * @param retries how often a caller comes back
+ * @param probesPerServer probes per second that a server receives from all instances together
+ * @param repeatSlack further attempts that a service may receive in ten seconds in addition to the
+ *     share of its requests that the retry budget allows
+ * @param timeoutSpread share of the longest timeout by which the timeouts of callers vary
+ * @param retries retries of a caller
  */
 record Deployment(
     int instances,
@@ -25,21 +25,26 @@
     List<Kind> kinds,
     double probesPerServer,
     double repeatSlack,
-    double patienceSpread,
+    double timeoutSpread,
     int retries) {
-  /** Few and small servers, short work. */
+  /** Few, small servers and short requests. */
   static final Deployment SMALL =
       new Deployment(17, services(19, 8, 6), ServerTraits.SIX_SLOTS, Kind.SHORT, 60, 62, 0, 1);
 
-  /** Callers that wait long and come back twice. */
+  /** Few, small servers, and callers with long timeouts that retry twice. */
   static final Deployment PATIENT =
       new Deployment(18, services(19, 8, 6), ServerTraits.SIX_SLOTS, Kind.PATIENT, 60, 62, 0, 2);
 
-  /** Many instances that each see few requests, and work that outlasts a neighbour's noise. */
+  /**
+   * Many instances that each receive few requests, and requests that run longer than the noise of a
+   * neighbour lasts.
+   */
   static final Deployment GROWN =
       new Deployment(129, services(148, 62, 42), ServerTraits.SIX_SLOTS, Kind.LONG, 42, 62, 0, 1);
 
-  /** The most instances: each sees three requests a second over three services. */
+  /**
+   * The largest number of instances; each receives three requests per second for three services.
+   */
   static final Deployment LARGE =
       new Deployment(
           152,
@@ -51,7 +56,7 @@
           0.15,
           1);
 
-  /** Servers with three slots, and work that lasts as long as a neighbour's noise. */
+  /** Servers with three slots, and requests that run as long as the noise of a neighbour lasts. */
   static final Deployment FEW_SLOTS =
       new Deployment(
           18,
@@ -67,7 +72,9 @@
           0,
           1);
 
-  /** Servers with two slots; each instance sees three requests a second over three services. */
+  /**
+   * Servers with two slots; each instance receives three requests per second for three services.
+   */
   static final Deployment TWO_SLOTS =
       new Deployment(
           97,
@@ -79,8 +86,8 @@
           0,
           1);
 
-  /** How long the most patient callers wait. */
-  long longestWaitMillis() {
+  /** Returns the longest timeout of a caller. */
+  long maxTimeoutMillis() {
     return kinds.stream()
         .mapToLong(kind -> TimeUnit.NANOSECONDS.toMillis(kind.route().timeoutNanos()))
         .max()
--- a/bench/src/main/java/org/magnoliaswitch/bench/model/FrontExchange.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/FrontExchange.java
@@ -23,10 +23,13 @@
 import org.magnoliaswitch.front.load.Timeliness;
 import org.magnoliaswitch.front.process.LatencyBaseline;
 
-/** One try of a caller at one instance: the front's exchange without its connections. */
+/**
+ * One attempt of a caller at one instance, decided by the load classes of the front, without
+ * connections.
+ */
 final class FrontExchange implements PendingQueue.Entry {
-  private static final double LOOK_AGAIN_MILLIS = 12;
-  private static final double PROBE_SERVER_MILLIS = 1;
+  private static final double SEARCH_INTERVAL_MILLIS = 12;
+  private static final double PROBE_EXECUTION_MILLIS = 1;
 
   private final FrontNode node;
   private final Callers callers;
@@ -34,29 +37,29 @@
   private final long arrivedNanos;
   private final long spentNanos;
   private final Set<ServerState> tried = new HashSet<>();
-  private final List<Send> open = new ArrayList<>();
-  private int searches;
-  private int sends;
-  private boolean sought;
+  private final List<Attempt> openAttempts = new ArrayList<>();
+  private int searchNumber;
+  private int attempts;
+  private boolean searchRecorded;
   private boolean queued;
   private Timeliness queuedTimeliness = Timeliness.IN_TIME;
   private boolean done;
 
-  /** One send to one server. */
-  private static final class Send {
+  /** One attempt at one server. */
+  private static final class Attempt {
     private final ServerState state;
     private final ModelServer.Job job;
     private final double slowness;
     private boolean ended;
 
-    Send(
+    Attempt(
         ServerState state,
         double workMillis,
         double slowness,
-        BiConsumer<Send, LoadSample> finished) {
+        BiConsumer<Attempt, LoadSample> completion) {
       this.state = state;
       this.slowness = slowness;
-      this.job = new ModelServer.Job(workMillis, told -> finished.accept(this, told));
+      this.job = new ModelServer.Job(workMillis, sample -> completion.accept(this, sample));
     }
   }
 
@@ -65,101 +68,101 @@
     this.callers = callers;
     this.request = request;
     this.arrivedNanos = now();
-    long told = request.deadlineNanos() - arrivedNanos;
-    this.spentNanos = node.routes().longestWaitNanos(request.kind().route(), told) - told;
+    long remaining = request.deadlineNanos() - arrivedNanos;
+    this.spentNanos = node.routes().longestWaitNanos(request.kind().route(), remaining) - remaining;
   }
 
   void start() {
     node.routes().budget(service()).recordRequest(now());
-    node.world().time().after(request.deadlineNanos() - now(), this::callerLeft);
+    node.simulation().time().after(request.deadlineNanos() - now(), this::handleTimeout);
     place();
   }
 
-  private void callerLeft() {
+  private void handleTimeout() {
     if (!done) {
       done = true;
       leaveQueue();
-      open.forEach(this::cancel);
+      openAttempts.forEach(this::cancel);
     }
   }
 
-  private void cancel(Send send) {
-    if (!send.ended) {
-      send.ended = true;
-      send.state.requestEnded();
-      node.pool(send.state).closed();
-      node.model(send.state).cancel(send.job);
+  private void cancel(Attempt attempt) {
+    if (!attempt.ended) {
+      attempt.ended = true;
+      attempt.state.requestEnded();
+      node.pool(attempt.state).discard();
+      node.model(attempt.state).cancel(attempt.job);
     }
   }
 
   private void place() {
     if (!done) {
-      searches++;
-      int current = searches;
-      search(step -> found(step, current));
+      searchNumber++;
+      int current = searchNumber;
+      search(step -> handleResult(step, current));
     }
   }
 
-  private void search(Consumer<ServerSelection.Step> found) {
-    look(0, found);
+  private void search(Consumer<ServerSelection.Step> action) {
+    searchRound(0, action);
   }
 
-  private void look(int round, Consumer<ServerSelection.Step> found) {
+  private void searchRound(int round, Consumer<ServerSelection.Step> action) {
     PlacementContext context = context();
     List<Placement.Ranked> ranked = node.rank(context, request.kind(), tried);
     ServerSelection.Step step = ServerSelection.next(ranked, context, round, true);
-    if (step instanceof ServerSelection.Step.Probe ask) {
-      ask(ask.servers(), () -> look(round + 1, found));
+    if (step instanceof ServerSelection.Step.Probe probe) {
+      probe(probe.servers(), () -> searchRound(round + 1, action));
     } else {
-      found.accept(step);
+      action.accept(step);
     }
   }
 
-  private void ask(List<ServerState> servers, Runnable then) {
-    double longest = 0;
+  private void probe(List<ServerState> servers, Runnable then) {
+    double maxRoundTripMillis = 0;
     for (ServerState state : servers) {
-      boolean asked = node.mayProbe(state);
-      if (asked) {
-        node.world().scoreboard().probed();
+      boolean probed = node.mayProbe(state);
+      if (probed) {
+        node.simulation().metrics().recordProbe();
       }
-      if (asked && !node.model(state).lost()) {
-        double answer = 2 * node.networkMillis(state) + PROBE_SERVER_MILLIS;
-        longest = Math.max(longest, answer);
-        node.pool(state).usedByCheck();
-        node.world().time().afterMillis(answer, () -> node.sampled(state));
-      } else if (asked && node.model(state).ended()) {
-        node.unreachable(state);
+      if (probed && !node.model(state).silent()) {
+        double roundTripMillis = 2 * node.networkMillis(state) + PROBE_EXECUTION_MILLIS;
+        maxRoundTripMillis = Math.max(maxRoundTripMillis, roundTripMillis);
+        node.pool(state).useForProbe();
+        node.simulation().time().afterMillis(roundTripMillis, () -> node.recordSample(state));
+      } else if (probed && node.model(state).crashed()) {
+        node.markUnreachable(state);
       }
     }
-    node.world().time().afterMillis(longest, then);
+    node.simulation().time().afterMillis(maxRoundTripMillis, then);
   }
 
-  private void found(ServerSelection.Step step, int asked) {
-    if (done || asked != searches) {
+  private void handleResult(ServerSelection.Step step, int resultSearch) {
+    if (done || resultSearch != searchNumber) {
       return;
     }
-    if (!sought && timeliness() == Timeliness.IN_TIME) {
+    if (!searchRecorded && timeliness() == Timeliness.IN_TIME) {
       node.routes().load(service()).recordSearch(step instanceof ServerSelection.Step.Send);
     }
-    sought = true;
+    searchRecorded = true;
     switch (step) {
-      case ServerSelection.Step.Send send -> {
+      case ServerSelection.Step.Send chosen -> {
         leaveQueue();
-        send(send.server());
+        send(chosen.server());
       }
-      case ServerSelection.Step.Probe ask -> waitForRoom();
-      case ServerSelection.Step.AllBusy full -> waitForRoom();
-      case ServerSelection.Step.NoServer none -> refuse(RetryAfter.Cause.BUSY);
+      case ServerSelection.Step.Probe probe -> waitForCapacity();
+      case ServerSelection.Step.AllBusy full -> waitForCapacity();
+      case ServerSelection.Step.NoServer none -> reject(RetryAfter.Cause.BUSY);
     }
   }
 
-  private void waitForRoom() {
-    double usual = node.routes().baseline(request.kind().route()).nanos();
+  private void waitForCapacity() {
+    double usualLatency = node.routes().baseline(request.kind().route()).nanos();
     long objective = request.kind().route().objectiveNanos();
-    long patience = request.deadlineNanos() - arrivedNanos;
-    double limit = node.rules().waiting().nanos(timeliness(), usual, objective, patience);
+    long timeout = request.deadlineNanos() - arrivedNanos;
+    double limit = node.rules().maxWait().nanos(timeliness(), usualLatency, objective, timeout);
     if (now() - arrivedNanos > limit || !mechanisms().enabled(Mechanism.WAITING)) {
-      refuse(RetryAfter.Cause.BUSY);
+      reject(RetryAfter.Cause.BUSY);
       return;
     }
     if (!queued) {
@@ -167,24 +170,25 @@
       queuedTimeliness = timeliness();
       node.pending().add(service(), this);
     }
-    int current = searches;
-    node.world()
+    int current = searchNumber;
+    node.simulation()
         .time()
         .afterMillis(
-            LOOK_AGAIN_MILLIS,
+            SEARCH_INTERVAL_MILLIS,
             () -> {
-              if (queued && current == searches) {
+              if (queued && current == searchNumber) {
                 place();
               }
             });
   }
 
-  private void refuse(RetryAfter.Cause cause) {
+  private void reject(RetryAfter.Cause cause) {
     if (!done) {
       done = true;
       leaveQueue();
-      double usual = node.routes().baseline(request.kind().route()).nanos();
-      callers.refused(request, RetryAfter.nanos(cause, usual, node.world().random(), mechanisms()));
+      double usualLatency = node.routes().baseline(request.kind().route()).nanos();
+      callers.rejected(
+          request, RetryAfter.nanos(cause, usualLatency, node.simulation().random(), mechanisms()));
     }
   }
 
@@ -196,132 +200,140 @@
   }
 
   private void send(ServerState state) {
-    searches++;
-    if (node.model(state).ended()) {
+    searchNumber++;
+    if (node.model(state).crashed()) {
       tried.add(state);
-      node.unreachable(state);
+      node.markUnreachable(state);
       place();
       return;
     }
-    sends++;
+    attempts++;
     tried.add(state);
     state.requestStarted();
-    node.pool(state).takeForRequest(request.kind().route().idempotent());
-    node.world().scoreboard().sent(node.near(state));
+    node.pool(state).acquireForRequest(request.kind().route().idempotent());
+    node.simulation().metrics().recordAttempt(node.near(state));
     long sentNanos = now();
-    double network = node.networkMillis(state);
-    Send send =
-        new Send(
+    double networkMillis = node.networkMillis(state);
+    Attempt attempt =
+        new Attempt(
             state,
             request.workMillis(),
             node.slowness(state),
-            (ended, told) -> ran(ended, told, sentNanos, network));
-    open.add(send);
-    node.world()
+            (completed, sample) -> sendAnswer(completed, sample, sentNanos, networkMillis));
+    openAttempts.add(attempt);
+    node.simulation()
         .time()
         .afterMillis(
-            network,
+            networkMillis,
             () -> {
-              if (!send.ended && !node.model(state).take(send.job)) {
-                node.world().time().afterMillis(network, () -> rejected(send));
+              if (!attempt.ended && !node.model(state).offer(attempt.job)) {
+                node.simulation().time().afterMillis(networkMillis, () -> handleRejection(attempt));
               }
             });
-    double usual = node.routes().baseline(request.kind().route()).nanos();
-    long left = objectiveEndNanos() - now();
-    node.world().time().after(HedgeDelay.nanos(usual, left), () -> overdue(send, sentNanos, usual));
+    double usualLatency = node.routes().baseline(request.kind().route()).nanos();
+    long remaining = objectiveEndNanos() - now();
+    node.simulation()
+        .time()
+        .after(
+            HedgeDelay.nanos(usualLatency, remaining),
+            () -> hedgeOverdue(attempt, sentNanos, usualLatency));
   }
 
-  private void overdue(Send send, long sentNanos, double usual) {
-    if (done || send.ended) {
+  private void hedgeOverdue(Attempt attempt, long sentNanos, double usualLatency) {
+    if (done || attempt.ended) {
       return;
     }
-    send.state.recordOverdue((now() - sentNanos) / usual, now());
+    attempt.state.recordOverdue((now() - sentNanos) / usualLatency, now());
     if (mechanisms().enabled(Mechanism.HEDGING)
         && request.kind().route().idempotent()
-        && maySend()) {
-      searches++;
-      int current = searches;
+        && mayAttempt()) {
+      searchNumber++;
+      int current = searchNumber;
       search(
           step -> {
-            boolean wanted = !done && current == searches;
-            if (wanted
+            boolean stillWanted = !done && current == searchNumber;
+            if (stillWanted
                 && step instanceof ServerSelection.Step.Send found
-                && repeat(CallerRetry.NONE)) {
+                && mayRetry(CallerRetry.NONE)) {
               send(found.server());
             }
           });
     }
   }
 
-  private boolean maySend() {
-    return sends < request.kind().route().maxServers();
+  private boolean mayAttempt() {
+    return attempts < request.kind().route().maxServers();
   }
 
-  private boolean repeat(CallerRetry fallback) {
-    return maySend() && node.mayRepeat(service(), fallback);
+  private boolean mayRetry(CallerRetry callerRetry) {
+    return mayAttempt() && node.trySpendRetry(service(), callerRetry);
   }
 
-  private CallerRetry fallback() {
+  private CallerRetry callerRetry() {
     if (!mechanisms().enabled(Mechanism.LAST_TRIES_FIRST)) {
       return CallerRetry.NONE;
     }
-    double usual = node.routes().baseline(request.kind().route()).nanos();
-    long left = request.deadlineNanos() - now();
-    return CallerRetry.of(request.firstTry(), OptionalLong.of(spentNanos), left, usual);
+    double usualLatency = node.routes().baseline(request.kind().route()).nanos();
+    long remaining = request.deadlineNanos() - now();
+    return CallerRetry.of(
+        request.firstAttempt(), OptionalLong.of(spentNanos), remaining, usualLatency);
   }
 
-  private void rejected(Send send) {
-    if (send.ended) {
+  private void handleRejection(Attempt attempt) {
+    if (attempt.ended) {
       return;
     }
-    send.ended = true;
-    send.state.requestEnded();
-    node.pool(send.state).giveBack();
-    send.state.recordFailure(now());
-    node.sampled(send.state);
-    open.remove(send);
-    if (done || !open.isEmpty()) {
+    attempt.ended = true;
+    attempt.state.requestEnded();
+    node.pool(attempt.state).release();
+    attempt.state.recordFailure(now());
+    node.recordSample(attempt.state);
+    openAttempts.remove(attempt);
+    if (done || !openAttempts.isEmpty()) {
       return;
     }
-    if (repeat(fallback())) {
+    if (mayRetry(callerRetry())) {
       place();
     } else {
-      refuse(RetryAfter.Cause.REJECTED);
+      reject(RetryAfter.Cause.REJECTED);
     }
   }
 
-  private void ran(Send send, LoadSample told, long sentNanos, double network) {
-    node.world().time().afterMillis(network, () -> answered(send, told, sentNanos));
+  private void sendAnswer(
+      Attempt attempt, LoadSample sample, long sentNanos, double networkMillis) {
+    node.simulation()
+        .time()
+        .afterMillis(networkMillis, () -> handleAnswer(attempt, sample, sentNanos));
   }
 
-  private void answered(Send send, LoadSample told, long sentNanos) {
-    if (send.ended) {
+  private void handleAnswer(Attempt attempt, LoadSample sample, long sentNanos) {
+    if (attempt.ended) {
       return;
     }
-    send.ended = true;
-    send.state.requestEnded();
-    node.pool(send.state).giveBack();
-    node.answered(send.state, told);
-    learn(send.state, now() - sentNanos, send.slowness);
+    attempt.ended = true;
+    attempt.state.requestEnded();
+    node.pool(attempt.state).release();
+    node.recordAnswer(attempt.state, sample);
+    recordSuccess(attempt.state, now() - sentNanos, attempt.slowness);
     if (!done) {
       done = true;
-      open.remove(send);
-      open.forEach(this::cancel);
+      openAttempts.remove(attempt);
+      openAttempts.forEach(this::cancel);
       callers.answered(request);
     }
   }
 
-  private void learn(ServerState state, long tookNanos, double slowness) {
+  private void recordSuccess(ServerState state, long latencyNanos, double slowness) {
     LatencyBaseline baseline = node.routes().baseline(request.kind().route());
     Optional<FrontExchange> first = node.pending().peek(service());
-    if (first.isPresent() && first.get().suits(state)) {
-      first.get().offered(state);
+    if (first.isPresent() && first.get().canUse(state)) {
+      first.get().sendFromQueue(state);
     }
-    state.recordSuccess(tookNanos / (baseline.nanos() * slowness), now());
-    baseline.update(tookNanos / slowness);
+    state.recordSuccess(latencyNanos / (baseline.nanos() * slowness), now());
+    baseline.update(latencyNanos / slowness);
   }
 
-  private boolean suits(ServerState state) {
+  private boolean canUse(ServerState state) {
     PlacementContext context = context();
     return Placement.expectedInTime(state, context)
         && (AdmissionLimit.hasCapacity(state, context)
@@ -337,7 +349,7 @@
     return node.rules().mechanisms();
   }
 
-  private void offered(ServerState state) {
+  private void sendFromQueue(ServerState state) {
     if (queued && !tried.contains(state)) {
       leaveQueue();
       send(state);
@@ -345,8 +357,8 @@
   }
 
   private Timeliness timeliness() {
-    double usual = node.routes().baseline(request.kind().route()).nanos();
-    return objectiveEndNanos() - now() < usual ? Timeliness.LATE : Timeliness.IN_TIME;
+    double usualLatency = node.routes().baseline(request.kind().route()).nanos();
+    return objectiveEndNanos() - now() < usualLatency ? Timeliness.LATE : Timeliness.IN_TIME;
   }
 
   private String service() {
@@ -354,7 +366,7 @@
   }
 
   private long now() {
-    return node.world().time().nanos();
+    return node.simulation().time().nanos();
   }
 
   @Override
@@ -369,8 +381,9 @@
 
   @Override
   public long objectiveEndNanos() {
-    // As an instance sees it, which is told the deadline only.
-    long sentNanos = arrivedNanos - Callers.WAY_NANOS;
+    // Estimated as an instance does, which receives the deadline but not the time of the first
+    // attempt.
+    long sentNanos = arrivedNanos - Callers.ONE_WAY_NANOS;
     return sentNanos - spentNanos + request.kind().route().objectiveNanos();
   }
 }
--- a/bench/src/main/java/org/magnoliaswitch/bench/model/FrontNode.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/FrontNode.java
@@ -21,56 +21,56 @@
 import org.magnoliaswitch.front.load.TokenBucket;
 import org.magnoliaswitch.front.process.RouteState;
 
-/** What one instance knows, with the front's own classes. */
+/** The state of one instance, kept in the classes of the front. */
 final class FrontNode {
   private static final double BUDGET_RATIO = 0.2;
   private static final long BUDGET_WINDOW_NANOS = VirtualTime.nanosOf(10_000);
   private static final double PROBE_BURST = 4;
 
-  private final World world;
+  private final Simulation simulation;
   private final Rules rules;
   private final int index;
   private final RouteState routes;
-  private final Map<String, List<ServerState>> all = new HashMap<>();
-  private final Map<String, List<ServerState>> states = new HashMap<>();
+  private final Map<String, List<ServerState>> allServers = new HashMap<>();
+  private final Map<String, List<ServerState>> subsets = new HashMap<>();
   private final Set<ServerState> unreachable = new HashSet<>();
   private final Map<ServerState, ModelServer> models = new HashMap<>();
   private final Map<ServerState, TokenBucket> probes = new HashMap<>();
   private final Map<ServerState, ModelPool> pools = new HashMap<>();
   private final PendingQueue<FrontExchange> pending;
 
-  FrontNode(World world, Rules rules, int index) {
-    this.world = world;
+  FrontNode(Simulation simulation, Rules rules, int index) {
+    this.simulation = simulation;
     this.rules = rules;
     this.index = index;
     this.pending = new PendingQueue<>(rules.mechanisms());
     this.routes =
         new RouteState(
-            // Shares of the budget are rounded down, and the replay's draws left alone: a seed
-            // plays
-            // the same pattern of load whatever draws the product makes.
+            // Rounds shares of the budget down instead of using the random numbers of the
+            // simulation, so that a seed generates the same load regardless of how many random
+            // numbers the front draws.
             () -> 0,
             new SharedRetryBudget.Limits(
-                BUDGET_RATIO, world.deployment().repeatSlack(), BUDGET_WINDOW_NANOS));
-    for (List<ModelServer> service : world.services()) {
-      List<ServerState> known = new ArrayList<>();
-      service.forEach(model -> known.add(add(model)));
+                BUDGET_RATIO, simulation.deployment().repeatSlack(), BUDGET_WINDOW_NANOS));
+    for (List<ModelServer> service : simulation.services()) {
+      List<ServerState> servers = new ArrayList<>();
+      service.forEach(model -> servers.add(add(model)));
       String name = service.getFirst().entry().service();
-      all.put(name, known);
-      states.put(name, subset(known));
+      allServers.put(name, servers);
+      subsets.put(name, subset(servers));
     }
   }
 
   private ServerState add(ModelServer model) {
-    ServerState state = new ServerState(model.entry(), world.time().nanos());
+    ServerState state = new ServerState(model.entry(), simulation.time().nanos());
     models.put(state, model);
-    pools.put(state, new ModelPool(state, world));
-    probes.put(state, new TokenBucket(PROBE_BURST, world.time().nanos()));
+    pools.put(state, new ModelPool(state, simulation));
+    probes.put(state, new TokenBucket(PROBE_BURST, simulation.time().nanos()));
     return state;
   }
 
-  World world() {
-    return world;
+  Simulation simulation() {
+    return simulation;
   }
 
   Rules rules() {
@@ -94,19 +94,19 @@
   }
 
   boolean near(ServerState state) {
-    return state.entry().dataCentre().equals(World.dataCentre(index));
+    return state.entry().dataCentre().equals(Simulation.dataCentre(index));
   }
 
   double networkMillis(ServerState state) {
-    return World.networkMillis(index, model(state));
+    return Simulation.networkMillis(index, model(state));
   }
 
-  /** Nobody listens at a server's address. */
-  void unreachable(ServerState state) {
-    state.recordFailure(world.time().nanos());
+  /** Records that a connection to a server was refused, and replaces the server in the subset. */
+  void markUnreachable(ServerState state) {
+    state.recordFailure(simulation.time().nanos());
     if (unreachable.add(state)) {
       String service = state.entry().service();
-      states.put(service, subset(all.get(service)));
+      subsets.put(service, subset(allServers.get(service)));
     }
   }
 
@@ -115,19 +115,19 @@
       return servers;
     }
     boolean replaced = rules.mechanisms().enabled(Mechanism.REPLACEMENTS);
-    return ServerSubset.withReplacements(servers, replaced ? unreachable : Set.of(), this::part);
+    return ServerSubset.withReplacements(servers, replaced ? unreachable : Set.of(), this::select);
   }
 
-  private List<ServerState> part(List<ServerState> servers) {
-    int size = rules.subset().size(servers.size(), world.deployment().instances());
+  private List<ServerState> select(List<ServerState> servers) {
+    int size = rules.subset().size(servers.size(), simulation.deployment().instances());
     return ServerSubset.select(
-        servers, size, ServerState::entry, "instance-" + index, World.dataCentre(index));
+        servers, size, ServerState::entry, "instance-" + index, Simulation.dataCentre(index));
   }
 
   List<Placement.Ranked> rank(PlacementContext context, Kind kind, Set<ServerState> excluded) {
     List<ServerState> eligible =
-        states.get(kind.service()).stream().filter(state -> !excluded.contains(state)).toList();
-    return Placement.rank(eligible, context, world.random());
+        subsets.get(kind.service()).stream().filter(state -> !excluded.contains(state)).toList();
+    return Placement.rank(eligible, context, simulation.random());
   }
 
   PlacementContext context(Kind kind, Timeliness timeliness, long allowedNanos) {
@@ -136,44 +136,46 @@
         allowedNanos,
         timeliness,
         routes.load(kind.service()),
-        World.dataCentre(index),
+        Simulation.dataCentre(index),
         rules.mechanisms(),
-        world.time().nanos());
+        simulation.time().nanos());
   }
 
   boolean mayProbe(ServerState state) {
     String service = state.entry().service();
-    double part = states.get(service).size() / (double) world.servers(service).size();
+    double subsetShare = subsets.get(service).size() / (double) simulation.servers(service).size();
     double perSecond =
         ProbeShare.perSecond(
-            world.deployment().probesPerServer(), world.deployment().instances(), part);
-    return probes.get(state).tryTake(perSecond, world.time().nanos());
+            simulation.deployment().probesPerServer(),
+            simulation.deployment().instances(),
+            subsetShare);
+    return probes.get(state).tryTake(perSecond, simulation.time().nanos());
   }
 
-  /** Takes what a health check or a rejection tells. */
-  void sampled(ServerState state) {
-    sampled(state, model(state).sample());
+  /** Records the load reported by a probe or a rejection. */
+  void recordSample(ServerState state) {
+    recordSample(state, model(state).sample());
   }
 
-  /** Takes what an answer tells. */
-  void answered(ServerState state, LoadSample told) {
+  /** Records the load reported by an answer. */
+  void recordAnswer(ServerState state, LoadSample sample) {
     ServiceLoad load = routes.load(state.entry().service());
-    sampled(state, load.afterAnswer(told, rules.mechanisms()));
+    recordSample(state, load.afterAnswer(sample, rules.mechanisms()));
   }
 
-  private void sampled(ServerState state, LoadSample sample) {
-    state.recordSample(sample, state.inFlight(), world.time().nanos());
+  private void recordSample(ServerState state, LoadSample sample) {
+    state.recordSample(sample, state.inFlight(), simulation.time().nanos());
     routes.load(state.entry().service()).recordSample(sample);
   }
 
   double slowness(ServerState state) {
     ServiceLoad load = routes.load(state.entry().service());
-    return Placement.slowness(state, load, world.time().nanos());
+    return Placement.slowness(state, load, simulation.time().nanos());
   }
 
-  boolean mayRepeat(String service, CallerRetry fallback) {
+  boolean trySpendRetry(String service, CallerRetry callerRetry) {
     return routes
         .budget(service)
-        .trySpend(fallback, world.deployment().instances(), world.time().nanos());
+        .trySpend(callerRetry, simulation.deployment().instances(), simulation.time().nanos());
   }
 }
--- a/bench/src/main/java/org/magnoliaswitch/bench/model/FrontPolicy.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/FrontPolicy.java
@@ -3,30 +3,30 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The front's decisions at instances that do not see each other. */
+/** Applies the decisions of the front at instances that do not communicate with each other. */
 final class FrontPolicy implements Policy {
-  private final World world;
+  private final Simulation simulation;
   private final Callers callers;
   private final Rules rules;
   private final List<FrontNode> nodes = new ArrayList<>();
 
-  FrontPolicy(World world, Callers callers, Rules rules) {
-    this.world = world;
+  FrontPolicy(Simulation simulation, Callers callers, Rules rules) {
+    this.simulation = simulation;
     this.callers = callers;
     this.rules = rules;
-    forget();
+    restartInstances();
   }
 
   @Override
-  public void forget() {
+  public void restartInstances() {
     nodes.clear();
-    for (int i = 0; i < world.deployment().instances(); i++) {
-      nodes.add(new FrontNode(world, rules, i));
+    for (int i = 0; i < simulation.deployment().instances(); i++) {
+      nodes.add(new FrontNode(simulation, rules, i));
     }
   }
 
   @Override
-  public void arrive(ModelRequest request, int instance) {
+  public void receive(ModelRequest request, int instance) {
     new FrontExchange(nodes.get(instance), callers, request).start();
   }
 }
--- a/bench/src/main/java/org/magnoliaswitch/bench/model/IdealPolicy.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/IdealPolicy.java
@@ -8,91 +8,98 @@
 import java.util.Optional;
 
 /**
- * One queue over all slots of a service with perfect knowledge of the moment: the best that any
- * balancer could do that cannot see into the future.
+ * Keeps one queue for all slots of a service and knows the current state of every server: an upper
+ * bound for load balancers that cannot predict the future.
  */
 final class IdealPolicy implements Policy {
-  private static final double LOOK_MILLIS = 1;
-  private static final double CALLER_MILLIS = 3;
+  private static final double DISPATCH_INTERVAL_MILLIS = 1;
+  private static final double CALLER_NETWORK_MILLIS = 3;
 
-  /** Those that can be in time first, then the most urgent, then the youngest. */
-  private static final Comparator<Waiting> ORDER =
-      Comparator.<Waiting>comparingInt(waiting -> waiting.late ? 1 : 0)
-          .thenComparingInt(waiting -> waiting.request.kind().route().priority())
-          .thenComparing(waiting -> waiting.request.firstMillis(), Comparator.reverseOrder());
+  /**
+   * Orders requests that can be answered in time first, then by priority, then the most recent
+   * first.
+   */
+  private static final Comparator<QueuedRequest> ORDER =
+      Comparator.<QueuedRequest>comparingInt(queued -> queued.late ? 1 : 0)
+          .thenComparingInt(queued -> queued.request.kind().route().priority())
+          .thenComparing(queued -> queued.request.startMillis(), Comparator.reverseOrder());
 
-  private static final class Waiting {
+  private static final class QueuedRequest {
     private final ModelRequest request;
     private final int instance;
     private boolean late;
 
-    Waiting(ModelRequest request, int instance) {
+    QueuedRequest(ModelRequest request, int instance) {
       this.request = request;
       this.instance = instance;
     }
   }
 
-  private final World world;
+  private final Simulation simulation;
   private final Callers callers;
-  private final Map<String, List<Waiting>> queues = new HashMap<>();
+  private final Map<String, List<QueuedRequest>> queues = new HashMap<>();
 
-  IdealPolicy(World world, Callers callers) {
-    this.world = world;
+  IdealPolicy(Simulation simulation, Callers callers) {
+    this.simulation = simulation;
     this.callers = callers;
-    world.time().everyMillis(LOOK_MILLIS, this::look);
+    simulation.time().everyMillis(DISPATCH_INTERVAL_MILLIS, this::dispatch);
   }
 
   @Override
-  public void arrive(ModelRequest request, int instance) {
+  public void receive(ModelRequest request, int instance) {
     queues
         .computeIfAbsent(request.kind().service(), name -> new ArrayList<>())
-        .add(new Waiting(request, instance));
+        .add(new QueuedRequest(request, instance));
   }
 
-  private void look() {
-    long now = world.time().nanos();
+  private void dispatch() {
+    long now = simulation.time().nanos();
     queues.forEach(
         (service, queue) -> {
-          queue.removeIf(waiting -> waiting.request.ended());
-          for (Waiting waiting : queue) {
-            long needed = VirtualTime.nanosOf(waiting.request.workMillis() + CALLER_MILLIS);
-            waiting.late = now + needed > waiting.request.objectiveEndNanos();
+          queue.removeIf(queued -> queued.request.ended());
+          for (QueuedRequest queued : queue) {
+            long remainingNanos =
+                VirtualTime.nanosOf(queued.request.workMillis() + CALLER_NETWORK_MILLIS);
+            queued.late = now + remainingNanos > queued.request.objectiveEndNanos();
           }
           queue.sort(ORDER);
-          queue.removeIf(waiting -> place(service, waiting));
+          queue.removeIf(queued -> place(service, queued));
         });
   }
 
-  private boolean place(String service, Waiting waiting) {
+  private boolean place(String service, QueuedRequest queued) {
     Optional<ModelServer> best =
-        world.servers(service).stream()
-            .filter(server -> !server.lost() && suits(server, waiting))
+        simulation.servers(service).stream()
+            .filter(server -> !server.silent() && canServe(server, queued))
             .min(Comparator.comparingDouble(server -> server.sample().outstanding()));
-    best.ifPresent(server -> send(waiting, server));
+    best.ifPresent(server -> send(queued, server));
     return best.isPresent();
   }
 
-  private boolean suits(ModelServer server, Waiting waiting) {
+  private boolean canServe(ModelServer server, QueuedRequest queued) {
     if (server.atKnee()) {
       return false;
     }
-    double work = waiting.request.workMillis() * server.sample().slowness();
-    long end = world.time().nanos() + VirtualTime.nanosOf(work + CALLER_MILLIS);
-    return end <= (waiting.late ? waiting.request.deadlineNanos() : objectiveEnd(waiting));
+    double work = queued.request.workMillis() * server.sample().slowness();
+    long end = simulation.time().nanos() + VirtualTime.nanosOf(work + CALLER_NETWORK_MILLIS);
+    return end <= (queued.late ? queued.request.deadlineNanos() : objectiveEnd(queued));
   }
 
-  private static long objectiveEnd(Waiting waiting) {
-    return waiting.request.objectiveEndNanos();
+  private static long objectiveEnd(QueuedRequest queued) {
+    return queued.request.objectiveEndNanos();
   }
 
-  private void send(Waiting waiting, ModelServer server) {
-    double network = World.networkMillis(waiting.instance, server);
+  private void send(QueuedRequest queued, ModelServer server) {
+    double networkMillis = Simulation.networkMillis(queued.instance, server);
     ModelServer.Job job =
         new ModelServer.Job(
-            waiting.request.workMillis() + network,
-            told -> world.time().afterMillis(network, () -> callers.answered(waiting.request)));
-    server.take(job);
-    long left = waiting.request.deadlineNanos() - world.time().nanos();
-    world.time().after(left, () -> server.cancel(job));
+            queued.request.workMillis() + networkMillis,
+            sample ->
+                simulation
+                    .time()
+                    .afterMillis(networkMillis, () -> callers.answered(queued.request)));
+    server.offer(job);
+    long remainingNanos = queued.request.deadlineNanos() - simulation.time().nanos();
+    simulation.time().after(remainingNanos, () -> server.cancel(job));
   }
 }
--- a/bench/src/main/java/org/magnoliaswitch/bench/model/Kind.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/Kind.java
@@ -6,14 +6,14 @@
 import org.magnoliaswitch.front.version.WeightedService;
 
 /**
- * A kind of request; figures as in the sheet of a deployment with few and small servers.
+ * A kind of request.
  *
- * @param perSecond how many callers bring on an ordinary day
- * @param workMillis work on an undisturbed server, on average
- * @param worth value of an answer within the objective
- * @param lateWorth value of a later one
+ * @param perSecond requests per second under normal load
+ * @param workMillis mean execution time on an undisturbed server
+ * @param value value of an answer within the objective
+ * @param lateValue value of an answer after the objective
  */
-record Kind(Route route, double perSecond, double workMillis, double worth, double lateWorth) {
+record Kind(Route route, double perSecond, double workMillis, double value, double lateValue) {
   private static final int MAX_SERVERS = 2;
 
   static final String STATUS = "status";
@@ -21,7 +21,7 @@
   static final String SCHEDULE = "schedule";
   static final String CERTIFICATES = "certificates";
 
-  /** Reads, bookings, changes and closings over three services. */
+  /** Reads, bookings, changes and closings for three services. */
   static final List<Kind> SHORT =
       List.of(
           kind("read", STATUS, true, 221, 120, 300, 1_000, 2, 1),
@@ -29,7 +29,7 @@
           kind("shift", SCHEDULE, false, 58.5, 82, 250, 600, 0, 3),
           kind("close", SCHEDULE, false, 27.1, 93, 250, 800, 2, 1));
 
-  /** The same of callers that wait longer and come back twice. */
+  /** Reads, bookings, changes and closings of callers with longer timeouts, which retry twice. */
   static final List<Kind> PATIENT =
       List.of(
           kind("read", STATUS, true, 220, 120, 300, 2_500, 2, 1),
@@ -37,7 +37,10 @@
           kind("shift", SCHEDULE, false, 53, 81, 250, 1_500, 0, 3),
           kind("close", SCHEDULE, false, 30.4, 93, 250, 2_000, 2, 1));
 
-  /** The same with work that takes five times as long. */
+  /**
+   * Reads, bookings, changes and closings whose execution takes five times as long as in {@link
+   * #SHORT}.
+   */
   static final List<Kind> LONG =
       List.of(
           kind("read", STATUS, true, 379, 571, 1_508, 2_500, 2, 1),
@@ -45,7 +48,7 @@
           kind("shift", SCHEDULE, false, 100, 400, 1_010, 2_000, 0, 3),
           kind("close", SCHEDULE, false, 46.5, 460, 1_204, 2_000, 2, 1));
 
-  /** Readings, payouts, lots and certificates over four services. */
+  /** Reads, payouts, lots and certificates for four services. */
   static final List<Kind> FEW_SLOTS =
       List.of(
           kind("read", STATUS, true, 60.5, 160, 400, 1_200, 2, 1),
@@ -53,7 +56,7 @@
           kind("lots", SCHEDULE, true, 18.8, 400, 1_000, 3_000, 2, 1),
           kind("certify", CERTIFICATES, false, 6.78, 130, 400, 1_000, 2, 1));
 
-  /** Work of up to a second, for callers that wait three to five times as long as it takes. */
+  /** Requests that take up to a second, with timeouts of three to five times the execution time. */
   static final List<Kind> LARGE =
       List.of(
           kind("read", STATUS, true, 259, 640, 1_500, 5_000, 2, 1),
@@ -61,7 +64,9 @@
           kind("shift", SCHEDULE, false, 68, 450, 1_200, 3_000, 0, 3),
           kind("close", SCHEDULE, false, 32, 510, 1_200, 4_000, 2, 1));
 
-  /** Work of a quarter of a second; a change is worth most, and is wanted first. */
+  /**
+   * Requests that take about a quarter of a second; a change has the highest value and priority.
+   */
   static final List<Kind> TWO_SLOTS =
       List.of(
           kind("read", STATUS, true, 110, 220, 600, 1_500, 2, 1),
@@ -76,21 +81,21 @@
       double perSecond,
       double workMillis,
       long objectiveMillis,
-      long patienceMillis,
+      long timeoutMillis,
       int priority,
-      double worth) {
+      double value) {
     Route route =
         new Route(
             name,
             "host",
             "/" + name + "/",
             idempotent,
-            TimeUnit.MILLISECONDS.toNanos(patienceMillis),
+            TimeUnit.MILLISECONDS.toNanos(timeoutMillis),
             TimeUnit.MILLISECONDS.toNanos(objectiveMillis),
             priority,
             MAX_SERVERS,
             List.of(new WeightedService(service, 1)));
-    return new Kind(route, perSecond, workMillis, worth, worth / 10);
+    return new Kind(route, perSecond, workMillis, value, value / 10);
   }
 
   String service() {
--- a/bench/src/main/java/org/magnoliaswitch/bench/model/LoadModelMain.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/LoadModelMain.java
@@ -13,39 +13,44 @@
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
 import joptsimple.OptionSpec;
-import org.magnoliaswitch.bench.model.Scoreboard.Result;
+import org.magnoliaswitch.bench.model.ReplayMetrics.Result;
 import org.magnoliaswitch.bench.report.Plots;
 
-/** Command line of {@code magnolia-load-model}: replays load patterns on the decisions alone. */
+/**
+ * Command line of {@code magnolia-load-model}: replays load patterns in a simulation of the
+ * decisions of the front.
+ */
 public final class LoadModelMain {
   private static final int USAGE = 2;
 
   private LoadModelMain() {}
 
-  /** Prints a table, writes a plot, and closes with the figures relative to the ideal. */
+  /** Prints a table, writes a plot and prints a summary line relative to the ideal policy. */
   public static void main(String[] arguments) throws IOException {
     OptionParser parser = new OptionParser();
     OptionSpec<String> directory =
-        parser.accepts("dir", "where the plot goes").withRequiredArg().defaultsTo(".");
+        parser.accepts("dir", "directory for the plot").withRequiredArg().defaultsTo(".");
     OptionSpec<String> patterns =
         parser
-            .accepts("pattern", "patterns to play, all where none is named")
+            .accepts("pattern", "load patterns to replay; all if none is given")
             .withRequiredArg()
             .withValuesSeparatedBy(',');
-    OptionSpec<String> ways =
+    OptionSpec<String> variants =
         parser
             .accepts(
-                "way", "ways to play beside the current and the ideal one, all where none is named")
+                "way",
+                "policies to compare with the current and the ideal policy; all if none is given")
             .withRequiredArg()
             .withValuesSeparatedBy(',');
     OptionSpec<Integer> seeds =
         parser
-            .accepts("seeds", "plays of each pattern and way")
+            .accepts("seeds", "number of replays of each pattern and policy")
             .withRequiredArg()
             .ofType(Integer.class)
-            .defaultsTo(Replay.SEEDS);
+            .defaultsTo(Replay.DEFAULT_SEEDS);
     OptionSpec<Void> ablation =
-        parser.accepts("ablation", "tell what each mechanism is worth, instead of comparing ways");
+        parser.accepts(
+            "ablation", "estimate the effect of each mechanism instead of comparing policies");
     OptionSpec<Void> help = parser.accepts("help", "print this text").forHelp();
     try {
       OptionSet options = parser.parse(arguments);
@@ -57,13 +62,13 @@
         return;
       }
       if (options.has(ablation)) {
-        Ablation.run(chosen(options.valuesOf(patterns)), options.valueOf(seeds));
+        Ablation.run(patterns(options.valuesOf(patterns)), options.valueOf(seeds));
         return;
       }
       run(
           Path.of(options.valueOf(directory)),
-          chosen(options.valuesOf(patterns)),
-          ways(options.valuesOf(ways)),
+          patterns(options.valuesOf(patterns)),
+          variants(options.valuesOf(variants)),
           options.valueOf(seeds));
     } catch (OptionException | IllegalArgumentException e) {
       System.err.println("magnolia-load-model: " + e.getMessage() + "; see --help");
@@ -71,36 +76,42 @@
     }
   }
 
-  private static List<Pattern> chosen(List<String> names) {
+  private static List<LoadPattern> patterns(List<String> names) {
     if (names.isEmpty()) {
-      return Pattern.ALL;
+      return LoadPattern.ALL;
     }
-    List<String> known = Pattern.ALL.stream().map(Pattern::name).toList();
+    List<String> known = LoadPattern.ALL.stream().map(LoadPattern::name).toList();
     check("pattern", names, known);
-    return Pattern.ALL.stream().filter(pattern -> names.contains(pattern.name())).toList();
+    return LoadPattern.ALL.stream().filter(pattern -> names.contains(pattern.name())).toList();
   }
 
   private static void check(String option, List<String> names, List<String> known) {
     for (String name : names) {
       if (!known.contains(name)) {
-        throw new IllegalArgumentException(option + " " + name + " is none of " + known);
+        throw new IllegalArgumentException(
+            option + " " + name + " is none of the known values " + known);
       }
     }
   }
 
-  private static List<Way> ways(List<String> names) {
+  private static List<PolicyVariant> variants(List<String> names) {
     if (names.isEmpty()) {
-      return Way.usual();
+      return PolicyVariant.defaults();
     }
-    check("way", names, Way.all().stream().map(Way::name).toList());
-    return Way.all().stream()
-        .filter(way -> way == Way.CURRENT || way == Way.IDEAL || names.contains(way.name()))
+    check("way", names, PolicyVariant.all().stream().map(PolicyVariant::name).toList());
+    return PolicyVariant.all().stream()
+        .filter(
+            variant ->
+                variant == PolicyVariant.CURRENT
+                    || variant == PolicyVariant.IDEAL
+                    || names.contains(variant.name()))
         .toList();
   }
 
-  private static void run(Path directory, List<Pattern> patterns, List<Way> played, int seeds)
+  private static void run(
+      Path directory, List<LoadPattern> patterns, List<PolicyVariant> selected, int seeds)
       throws IOException {
-    Map<Pattern, Map<Way, Result>> results = new LinkedHashMap<>();
+    Map<LoadPattern, Map<PolicyVariant, Result>> results = new LinkedHashMap<>();
     System.out.printf(
         Locale.ROOT,
         "%-13s %-26s %7s %9s %7s %12s %14s %7s %5s %8s%n",
@@ -114,35 +125,35 @@
         "probes",
         "near",
         "connects");
-    for (Pattern pattern : patterns) {
-      Map<Way, Result> ways = new LinkedHashMap<>();
-      for (Way way : played) {
-        Result result = Replay.run(pattern, way, seeds);
-        ways.put(way, result);
-        print(pattern, way, result);
+    for (LoadPattern pattern : patterns) {
+      Map<PolicyVariant, Result> variants = new LinkedHashMap<>();
+      for (PolicyVariant variant : selected) {
+        Result result = Replay.run(pattern, variant, seeds);
+        variants.put(variant, result);
+        print(pattern, variant, result);
       }
-      results.put(pattern, ways);
+      results.put(pattern, variants);
     }
-    plot(directory, results, played);
-    if (!played.contains(Way.ROUND_ROBIN)) {
+    plot(directory, results, selected);
+    if (!selected.contains(PolicyVariant.ROUND_ROBIN)) {
       return;
     }
     System.out.printf(
         Locale.ROOT,
         "load-model: served_vs_ideal=%.3f objective_vs_ideal=%.3f worst_second_vs_ideal=%.3f"
             + " vs_round_robin=%.3f%n",
-        mean(results, Way.IDEAL, Result::served),
-        mean(results, Way.IDEAL, Result::inTime),
-        mean(results, Way.IDEAL, Result::worstSecond),
-        mean(results, Way.ROUND_ROBIN, Result::inTime));
+        mean(results, PolicyVariant.IDEAL, Result::served),
+        mean(results, PolicyVariant.IDEAL, Result::inTime),
+        mean(results, PolicyVariant.IDEAL, Result::worstSecond),
+        mean(results, PolicyVariant.ROUND_ROBIN, Result::inTime));
   }
 
-  private static void print(Pattern pattern, Way way, Result result) {
+  private static void print(LoadPattern pattern, PolicyVariant variant, Result result) {
     System.out.printf(
         Locale.ROOT,
         "%-13s %-26s %7.3f %9.3f %7.3f %12.3f %14.3f %7.2f %5.2f %8.2f%n",
         pattern.name(),
-        way.name(),
+        variant.name(),
         result.served(),
         result.inTime(),
         result.credit(),
@@ -154,25 +165,30 @@
   }
 
   private static double mean(
-      Map<Pattern, Map<Way, Result>> results, Way other, ToDoubleFunction<Result> figure) {
+      Map<LoadPattern, Map<PolicyVariant, Result>> results,
+      PolicyVariant other,
+      ToDoubleFunction<Result> figure) {
     return results.values().stream()
         .mapToDouble(
-            ways ->
-                figure.applyAsDouble(ways.get(Way.CURRENT))
-                    / Math.max(1e-3, figure.applyAsDouble(ways.get(other))))
+            variants ->
+                figure.applyAsDouble(variants.get(PolicyVariant.CURRENT))
+                    / Math.max(1e-3, figure.applyAsDouble(variants.get(other))))
         .average()
         .orElse(0);
   }
 
-  private static void plot(Path directory, Map<Pattern, Map<Way, Result>> results, List<Way> played)
+  private static void plot(
+      Path directory,
+      Map<LoadPattern, Map<PolicyVariant, Result>> results,
+      List<PolicyVariant> selected)
       throws IOException {
     Files.createDirectories(directory);
-    List<String> patterns = results.keySet().stream().map(Pattern::name).toList();
+    List<String> patterns = results.keySet().stream().map(LoadPattern::name).toList();
     Map<String, List<Double>> bars = new LinkedHashMap<>();
-    for (Way way : played) {
+    for (PolicyVariant variant : selected) {
       List<Double> values = new ArrayList<>();
-      results.values().forEach(ways -> values.add(ways.get(way).inTime()));
-      bars.put(way.name(), values);
+      results.values().forEach(variants -> values.add(variants.get(variant).inTime()));
+      bars.put(variant.name(), values);
     }
     Plots.bars(
         directory.resolve("load-model.png"),
--- a/bench/src/main/java/org/magnoliaswitch/bench/model/ModelPool.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/ModelPool.java
@@ -5,83 +5,84 @@
 import java.util.concurrent.TimeUnit;
 import org.magnoliaswitch.front.load.ServerState;
 
-/** The connections of one instance to one server, as far as their number matters. */
+/** Counts the connections of one instance to one server. */
 final class ModelPool {
-  /** Idle time after which a connection carries no request that may run only once. */
-  private static final long KEPT_ONCE_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
+  /** Maximum idle time of a connection that is reused for a non-idempotent request. */
+  private static final long MAX_IDLE_NON_IDEMPOTENT_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
   private final ServerState state;
-  private final World world;
-  private final long keptNanos;
+  private final Simulation simulation;
+  private final long keepAliveNanos;
   private final Deque<Long> idleSince = new ArrayDeque<>();
   private int busy;
 
-  ModelPool(ServerState state, World world) {
+  ModelPool(ServerState state, Simulation simulation) {
     this.state = state;
-    this.world = world;
-    this.keptNanos = VirtualTime.nanosOf(world.deployment().traits().keptMillis());
-    state.idleConnections(costNothing() ? 1 : 0);
+    this.simulation = simulation;
+    this.keepAliveNanos = VirtualTime.nanosOf(simulation.deployment().traits().keepAliveMillis());
+    state.idleConnections(connectionsAreFree() ? 1 : 0);
   }
 
-  private boolean costNothing() {
-    return keptNanos == 0;
+  private boolean connectionsAreFree() {
+    return keepAliveNanos == 0;
   }
 
-  /** Takes the connection that was used last for a request, or opens one. */
-  void takeForRequest(boolean idempotent) {
-    if (costNothing()) {
+  /** Acquires the most recently used idle connection for a request, or opens a connection. */
+  void acquireForRequest(boolean idempotent) {
+    if (connectionsAreFree()) {
       return;
     }
-    expire();
+    closeExpired();
     Long since = idleSince.peekLast();
-    long usable = idempotent ? keptNanos : KEPT_ONCE_NANOS;
-    if (since != null && world.time().nanos() - since < usable) {
+    long maxIdleNanos = idempotent ? keepAliveNanos : MAX_IDLE_NON_IDEMPOTENT_NANOS;
+    if (since != null && simulation.time().nanos() - since < maxIdleNanos) {
       idleSince.removeLast();
     } else {
-      world.scoreboard().connected();
+      simulation.metrics().recordConnection();
     }
     busy++;
     state.idleConnections(idleSince.size());
   }
 
-  /** Gives a connection back after a whole answer. */
-  void giveBack() {
-    if (costNothing()) {
+  /** Returns a connection to the pool after a complete answer. */
+  void release() {
+    if (connectionsAreFree()) {
       return;
     }
     busy--;
-    idleSince.addLast(world.time().nanos());
+    idleSince.addLast(simulation.time().nanos());
     state.idleConnections(idleSince.size());
   }
 
-  /** A connection ends with its exchange. */
-  void closed() {
+  /** Closes the connection of a cancelled request. */
+  void discard() {
     busy--;
   }
 
   /**
-   * A health check uses a connection for a moment, and opens the first one. Beside requests at work
-   * it is taken to need none of its own.
+   * Uses an idle connection for a probe, or opens a connection if the pool is empty. While requests
+   * are in flight and no connection is idle, no connection is counted for the probe.
    */
-  void usedByCheck() {
-    if (costNothing()) {
+  void useForProbe() {
+    if (connectionsAreFree()) {
       return;
     }
-    expire();
+    closeExpired();
     if (idleSince.isEmpty() && busy > 0) {
       return;
     }
     if (idleSince.isEmpty()) {
-      world.scoreboard().connected();
+      simulation.metrics().recordConnection();
     } else {
       idleSince.removeLast();
     }
-    idleSince.addLast(world.time().nanos());
+    idleSince.addLast(simulation.time().nanos());
     state.idleConnections(idleSince.size());
   }
 
-  private void expire() {
-    while (!idleSince.isEmpty() && world.time().nanos() - idleSince.peekFirst() >= keptNanos) {
+  private void closeExpired() {
+    while (!idleSince.isEmpty()
+        && simulation.time().nanos() - idleSince.peekFirst() >= keepAliveNanos) {
       idleSince.removeFirst();
     }
     state.idleConnections(idleSince.size());
--- a/bench/src/main/java/org/magnoliaswitch/bench/model/ModelRequest.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/ModelRequest.java
@@ -2,29 +2,29 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** What one caller wants, over all its tries. */
+/** The request of one caller, across all its attempts. */
 final class ModelRequest {
   private final Kind kind;
-  private final long firstNanos;
+  private final long startNanos;
   private final double workMillis;
-  private final long patienceNanos;
+  private final long timeoutNanos;
   private final boolean abuser;
-  private int triesLeft;
-  private boolean returned;
+  private int retriesLeft;
+  private boolean retried;
   private boolean ended;
 
   ModelRequest(
       Kind kind,
-      long firstNanos,
+      long startNanos,
       double workMillis,
-      long patienceNanos,
-      int triesLeft,
+      long timeoutNanos,
+      int retriesLeft,
       boolean abuser) {
     this.kind = kind;
-    this.firstNanos = firstNanos;
+    this.startNanos = startNanos;
     this.workMillis = workMillis;
-    this.patienceNanos = patienceNanos;
-    this.triesLeft = triesLeft;
+    this.timeoutNanos = timeoutNanos;
+    this.retriesLeft = retriesLeft;
     this.abuser = abuser;
   }
 
@@ -40,34 +40,37 @@
     return abuser;
   }
 
-  double firstMillis() {
-    return firstNanos / (double) TimeUnit.MILLISECONDS.toNanos(1);
+  double startMillis() {
+    return startNanos / (double) TimeUnit.MILLISECONDS.toNanos(1);
   }
 
   long deadlineNanos() {
-    return firstNanos + patienceNanos;
+    return startNanos + timeoutNanos;
   }
 
-  long patienceNanos() {
-    return patienceNanos;
+  long timeoutNanos() {
+    return timeoutNanos;
   }
 
   long objectiveEndNanos() {
-    return firstNanos + kind.route().objectiveNanos();
+    return startNanos + kind.route().objectiveNanos();
   }
 
-  /** Whether it has not come back yet; instances tell it by the connection it comes on. */
-  boolean firstTry() {
-    return !returned;
+  /**
+   * Whether the request has not been retried yet; instances recognize a retry by the connection on
+   * which it arrives.
+   */
+  boolean firstAttempt() {
+    return !retried;
   }
 
-  /** Uses one of the tries; false when none is left. */
-  boolean takeTry() {
-    if (triesLeft == 0) {
+  /** Uses one of the retries; returns false if none is left. */
+  boolean takeRetry() {
+    if (retriesLeft == 0) {
       return false;
     }
-    triesLeft--;
-    returned = true;
+    retriesLeft--;
+    retried = true;
     return true;
   }
 
--- a/bench/src/main/java/org/magnoliaswitch/bench/model/ModelServer.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/ModelServer.java
@@ -10,42 +10,43 @@
 import org.magnoliaswitch.front.version.ServerEntry;
 
 /**
- * A backend server: slots, a short queue, a knee above which work slows down, and neighbours that
- * slow the whole machine for a few hundred milliseconds.
+ * A simulated backend server with slots, a short queue, a knee above which requests take longer,
+ * and noisy neighbours that slow down the whole machine for a few hundred milliseconds.
  *
- * <p>How long a request takes is settled when its work starts. In the logs of the users' servers
- * those that started beside a busy neighbour took four times as long to their end, also when it had
- * gone after a third of that, and those that started undisturbed took their usual time.
+ * <p>The duration of a request is fixed when its execution starts, as on real servers: a request
+ * that starts beside a busy neighbour takes four times as long, even when the neighbour becomes
+ * idle after a third of that time, and a request that starts undisturbed takes its usual time.
  */
 final class ModelServer {
-  /** One request at the server. */
+  /** A request at the server. */
   static final class Job {
     private final double workMillis;
-    private final Consumer<LoadSample> done;
+    private final Consumer<LoadSample> completion;
 
     /**
      * Creates a request.
      *
-     * @param done takes what the answer says of the load, which still counts the request itself
+     * @param completion receives the load reported with the answer, which still includes the
+     *     request itself
      */
-    Job(double workMillis, Consumer<LoadSample> done) {
+    Job(double workMillis, Consumer<LoadSample> completion) {
       this.workMillis = workMillis;
-      this.done = done;
+      this.completion = completion;
     }
   }
 
   private final ServerEntry entry;
-  private final Pattern pattern;
+  private final LoadPattern pattern;
   private final ServerTraits traits;
   private final VirtualTime time;
   private final RandomGenerator random;
   private final List<Job> running = new ArrayList<>();
   private final Deque<Job> waiting = new ArrayDeque<>();
   private double slowness = 1;
-  private boolean lost;
-  private boolean ended;
+  private boolean silent;
+  private boolean crashed;
 
-  ModelServer(ServerEntry entry, Pattern pattern, VirtualTime time, RandomGenerator random) {
+  ModelServer(ServerEntry entry, LoadPattern pattern, VirtualTime time, RandomGenerator random) {
     this.entry = entry;
     this.pattern = pattern;
     this.traits = pattern.deployment().traits();
@@ -53,10 +54,10 @@
     this.random = random;
     time.afterMillis(
         random.nextDouble() * traits.noiseMillis(),
-        () -> time.everyMillis(traits.noiseMillis(), this::shiftNoise));
+        () -> time.everyMillis(traits.noiseMillis(), this::updateNoise));
   }
 
-  private void shiftNoise() {
+  private void updateNoise() {
     slowness = random.nextDouble() < pattern.noiseShare() ? traits.noiseFactor() : 1;
   }
 
@@ -64,18 +65,21 @@
     return entry;
   }
 
-  /** Whether one more request would take longer than usual. */
+  /** Whether a further request would exceed the knee. */
   boolean atKnee() {
     return running.size() + waiting.size() + 1 > traits.knee() * traits.slots();
   }
 
-  /** Takes a request; false when slots and queue are full. */
-  boolean take(Job job) {
-    if (lost) {
-      // Nobody answers; the job never ends.
+  /**
+   * Starts or queues a request; returns false if it is rejected, which includes that slots and
+   * queue are full.
+   */
+  boolean offer(Job job) {
+    if (silent) {
+      // A silent server never completes a request.
       return true;
     }
-    if (random.nextDouble() < pattern.rejectedAt(entry.service(), time.millis())) {
+    if (random.nextDouble() < pattern.rejectedShareAt(entry.service(), time.millis())) {
       return false;
     }
     if (running.size() < traits.slots()) {
@@ -87,52 +91,52 @@
 
   private void start(Job job) {
     running.add(job);
-    double knee = running.size() > traits.knee() * traits.slots() ? traits.kneeFactor() : 1;
-    time.afterMillis(job.workMillis * slowness * knee, () -> end(job));
+    double kneeFactor = running.size() > traits.knee() * traits.slots() ? traits.kneeFactor() : 1;
+    time.afterMillis(job.workMillis * slowness * kneeFactor, () -> complete(job));
   }
 
-  private void end(Job job) {
-    LoadSample told = sample();
+  private void complete(Job job) {
+    LoadSample sample = sample();
     if (running.remove(job)) {
-      next();
-      job.done.accept(told);
+      startNext();
+      job.completion.accept(sample);
     }
   }
 
-  /** Stops work on a request whose connection was closed. */
+  /** Aborts a request whose connection was closed. */
   void cancel(Job job) {
     waiting.remove(job);
     if (running.remove(job)) {
-      next();
+      startNext();
     }
   }
 
-  /** Falls silent for good. */
-  void lose() {
-    lost = true;
+  /** Makes the server stop responding permanently. */
+  void stopResponding() {
+    silent = true;
     running.clear();
     waiting.clear();
   }
 
-  /** Ends: nobody answers, and nobody listens at its address. */
-  void end() {
-    lose();
-    ended = true;
+  /** Makes the server crash: it stops responding and refuses connections. */
+  void crash() {
+    stopResponding();
+    crashed = true;
   }
 
-  boolean lost() {
-    return lost;
+  boolean silent() {
+    return silent;
   }
 
-  boolean ended() {
-    return ended;
+  boolean crashed() {
+    return crashed;
   }
 
   LoadSample sample() {
     return new LoadSample(running.size(), waiting.size(), traits.slots(), slowness);
   }
 
-  private void next() {
+  private void startNext() {
     if (!waiting.isEmpty()) {
       start(waiting.removeFirst());
     }
--- a/bench/src/main/java/org/magnoliaswitch/bench/model/Policy.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/Policy.java
@@ -1,10 +1,10 @@
 package org.magnoliaswitch.bench.model;
 
-/** How instances treat requests. */
+/** Decides how instances handle requests. */
 interface Policy {
-  /** A try of a caller reaches an instance. */
-  void arrive(ModelRequest request, int instance);
+  /** Handles an attempt of a caller that arrives at an instance. */
+  void receive(ModelRequest request, int instance);
 
-  /** All instances have started anew and know nothing. */
-  default void forget() {}
+  /** Discards the state of all instances, which have restarted. */
+  default void restartInstances() {}
 }
--- a/bench/src/main/java/org/magnoliaswitch/bench/model/Replay.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/Replay.java
@@ -3,60 +3,69 @@
 import java.util.List;
 import java.util.stream.LongStream;
 
-/** Plays one pattern under one policy, several times with fixed seeds. */
+/** Replays one load pattern under one policy with a fixed series of seeds. */
 final class Replay {
-  /** Few seeds tell little of the two worst seconds of a play; of these the mean is steady. */
-  static final int SEEDS = 6;
+  /**
+   * The two worst seconds vary widely between seeds; the mean over this number of seeds is stable.
+   */
+  static final int DEFAULT_SEEDS = 6;
 
   private static final long FIRST_SEED = 20_611;
 
   private Replay() {}
 
-  /** Mean over the given number of seeds. */
-  static Scoreboard.Result run(Pattern pattern, Way way, int seeds) {
-    return Scoreboard.Result.mean(each(pattern, way, seeds));
+  /** Returns the mean result over the given number of seeds. */
+  static ReplayMetrics.Result run(LoadPattern pattern, PolicyVariant variant, int seeds) {
+    return ReplayMetrics.Result.mean(runSeeds(pattern, variant, seeds));
   }
 
-  /** The results of the seeds, in their order. */
-  static List<Scoreboard.Result> each(Pattern pattern, Way way, int seeds) {
+  /** Returns the result of each seed, in the order of the seeds. */
+  static List<ReplayMetrics.Result> runSeeds(
+      LoadPattern pattern, PolicyVariant variant, int seeds) {
     return LongStream.range(FIRST_SEED, FIRST_SEED + seeds)
         .parallel()
-        .mapToObj(seed -> play(pattern, way, seed))
+        .mapToObj(seed -> runSeed(pattern, variant, seed))
         .toList();
   }
 
-  private static Scoreboard.Result play(Pattern pattern, Way way, long seed) {
-    World world = new World(pattern, seed);
-    Callers callers = new Callers(world, pattern);
-    Policy policy = policy(way, world, callers);
+  private static ReplayMetrics.Result runSeed(
+      LoadPattern pattern, PolicyVariant variant, long seed) {
+    Simulation simulation = new Simulation(pattern, seed);
+    Callers callers = new Callers(simulation, pattern);
+    Policy policy = policy(variant, simulation, callers);
     callers.start(policy);
-    world.time().afterMillis(Pattern.TROUBLE_MILLIS, () -> lose(world, pattern.trouble()));
-    if (pattern.trouble().outage()) {
-      world.time().afterMillis(Pattern.TROUBLE_MILLIS, policy::forget);
+    simulation
+        .time()
+        .afterMillis(LoadPattern.FAULT_MILLIS, () -> inject(simulation, pattern.fault()));
+    if (pattern.fault().outage()) {
+      simulation.time().afterMillis(LoadPattern.FAULT_MILLIS, policy::restartInstances);
     }
-    // Those who came last are waited for: cut off, they made the last second the worst of all.
-    world.time().runUntilMillis(Pattern.LENGTH_MILLIS + pattern.deployment().longestWaitMillis());
-    return world.scoreboard().result();
+    // Runs until the last callers have timed out; otherwise their unanswered requests would make
+    // the last second the worst.
+    simulation
+        .time()
+        .runUntilMillis(LoadPattern.LENGTH_MILLIS + pattern.deployment().maxTimeoutMillis());
+    return simulation.metrics().result();
   }
 
-  private static void lose(World world, Trouble trouble) {
-    for (List<ModelServer> servers : world.services()) {
-      int count = (int) Math.round(trouble.lostServers() * servers.size());
-      servers.subList(0, count).forEach(ModelServer::lose);
-      if (trouble.dataCentreEnds()) {
-        String ending = World.dataCentre(0);
+  private static void inject(Simulation simulation, Fault fault) {
+    for (List<ModelServer> servers : simulation.services()) {
+      int count = (int) Math.round(fault.lostServers() * servers.size());
+      servers.subList(0, count).forEach(ModelServer::stopResponding);
+      if (fault.dataCentreCrashes()) {
+        String crashing = Simulation.dataCentre(0);
         servers.stream()
-            .filter(server -> server.entry().dataCentre().equals(ending))
-            .forEach(ModelServer::end);
+            .filter(server -> server.entry().dataCentre().equals(crashing))
+            .forEach(ModelServer::crash);
       }
     }
   }
 
-  private static Policy policy(Way way, World world, Callers callers) {
-    return switch (way) {
-      case Way.Simple simple -> new SimplePolicy(world, callers, simple.rule());
-      case Way.Front front -> new FrontPolicy(world, callers, front.rules());
-      case Way.Ideal ideal -> new IdealPolicy(world, callers);
+  private static Policy policy(PolicyVariant variant, Simulation simulation, Callers callers) {
+    return switch (variant) {
+      case PolicyVariant.Simple simple -> new SimplePolicy(simulation, callers, simple.rule());
+      case PolicyVariant.Front front -> new FrontPolicy(simulation, callers, front.rules());
+      case PolicyVariant.Ideal ideal -> new IdealPolicy(simulation, callers);
     };
   }
 }
--- a/bench/src/main/java/org/magnoliaswitch/bench/model/Rules.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/Rules.java
@@ -7,41 +7,44 @@
 import org.magnoliaswitch.front.load.WaitLimit;
 
 /**
- * The parts of the front's decisions that a replay can take out or replace.
+ * The parts of the decisions of the front that a replay can disable or replace.
  *
- * @param mechanisms which of them are in force
- * @param waiting how long a request waits for room
- * @param subset how many servers of a service an instance sends to
+ * @param mechanisms enabled mechanisms
+ * @param maxWait longest time that a request waits for capacity
+ * @param subset number of servers of a service that an instance uses
  */
-record Rules(Mechanisms mechanisms, Wait waiting, Subset subset) {
-  private static final int SIXTEEN = 16;
+record Rules(Mechanisms mechanisms, MaxWait maxWait, Subset subset) {
+  private static final int SUBSET_SIZE = 16;
 
-  /** Longest wait since a request was read. */
+  /** Computes the longest wait of a request since it was received. */
   @FunctionalInterface
-  interface Wait {
-    double nanos(Timeliness timeliness, double usualNanos, long objectiveNanos, long patienceNanos);
+  interface MaxWait {
+    double nanos(Timeliness timeliness, double usualNanos, long objectiveNanos, long timeoutNanos);
   }
 
-  /** How many servers of a service an instance sends to. */
+  /** Computes the number of servers of a service that an instance uses. */
   @FunctionalInterface
   interface Subset {
     int size(int servers, int instances);
   }
 
-  /** As the front decides now. */
+  /** The rules of the front. */
   static final Rules CURRENT = new Rules(Mechanisms.ALL, WaitLimit::nanos, ServerSubset::size);
 
-  /** With sixteen servers of each large service, however many instances there are. */
+  /** Uses sixteen servers of each large service, regardless of the number of instances. */
   static final Rules SIXTEEN_SERVERS =
       new Rules(
           Mechanisms.ALL,
           WaitLimit::nanos,
-          (servers, instances) -> servers <= 2 * SIXTEEN ? servers : SIXTEEN);
+          (servers, instances) -> servers <= 2 * SUBSET_SIZE ? servers : SUBSET_SIZE);
 
-  /** With an eighth of the objective as the wait of requests in time. */
-  static final Rules SHORT_WAIT = new Rules(Mechanisms.ALL, Rules::eighth, ServerSubset::size);
+  /**
+   * Lets requests that can still be answered in time wait for at most an eighth of the objective.
+   */
+  static final Rules SHORT_WAIT =
+      new Rules(Mechanisms.ALL, Rules::eighthOfObjective, ServerSubset::size);
 
-  /** By what is known, without a bound on what a server gets. */
+  /** Uses the known load without probing, hedging or a limit on the requests of a server. */
   static final Rules UNBOUNDED =
       new Rules(
           Mechanisms.ALL
@@ -52,14 +55,14 @@
           WaitLimit::nanos,
           ServerSubset::size);
 
-  /** These rules with one mechanism switched off. */
+  /** Returns these rules with one mechanism disabled. */
   Rules without(Mechanism mechanism) {
-    return new Rules(mechanisms.without(mechanism), waiting, subset);
+    return new Rules(mechanisms.without(mechanism), maxWait, subset);
   }
 
-  private static double eighth(
-      Timeliness timeliness, double usualNanos, long objectiveNanos, long patienceNanos) {
-    double usual = 0.125 * objectiveNanos;
-    return timeliness == Timeliness.IN_TIME ? usual : Math.max(usual, 0.15 * patienceNanos);
+  private static double eighthOfObjective(
+      Timeliness timeliness, double usualNanos, long objectiveNanos, long timeoutNanos) {
+    double limit = 0.125 * objectiveNanos;
+    return timeliness == Timeliness.IN_TIME ? limit : Math.max(limit, 0.15 * timeoutNanos);
   }
 }
--- a/bench/src/main/java/org/magnoliaswitch/bench/model/ServerTraits.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/ServerTraits.java
@@ -1,15 +1,16 @@
 package org.magnoliaswitch.bench.model;
 
 /**
- * How the backend servers of a deployment behave.
+ * The behaviour of the backend servers of a deployment.
  *
- * @param slots requests that a server executes at once
- * @param queue requests that wait there before it rejects further ones
- * @param knee share of busy slots above which work takes longer
- * @param kneeFactor how much longer it takes then
- * @param noiseFactor how much longer work takes beside a busy neighbour
- * @param noiseMillis how long a neighbour stays busy or quiet
- * @param keptMillis how long a connection is kept idle; 0 where connections cost nothing
+ * @param slots requests that a server executes concurrently
+ * @param queue requests that a server queues before it rejects further requests
+ * @param knee share of busy slots above which execution takes longer
+ * @param kneeFactor factor on the execution time above the knee
+ * @param noiseFactor factor on the execution time beside a busy neighbour
+ * @param noiseMillis time for which a neighbour stays busy or idle
+ * @param keepAliveMillis idle time after which an instance closes a connection; 0 if connections
+ *     are not modelled
  */
 record ServerTraits(
     int slots,
@@ -18,16 +19,21 @@
     double kneeFactor,
     double noiseFactor,
     double noiseMillis,
-    double keptMillis) {
-  /** Six slots, neighbours that slow a server down for longer than a request takes. */
+    double keepAliveMillis) {
+  /** Six slots, and neighbours that slow down a server for longer than a request takes. */
   static final ServerTraits SIX_SLOTS = new ServerTraits(6, 12, 0.8, 1.7, 4, 300, 0);
 
-  /** Three slots, neighbours that come and go while a request is at work. */
+  /** Three slots, and neighbours that become busy and idle while a request is executed. */
   static final ServerTraits THREE_SLOTS = new ServerTraits(3, 6, 0.8, 1.7, 5, 150, 0);
 
-  /** Six slots, and connections that are closed a second before their server would do so. */
+  /**
+   * Six slots, and idle connections that an instance closes a second before the server would do so.
+   */
   static final ServerTraits SIX_SLOTS_CONNECTED = new ServerTraits(6, 12, 0.8, 1.7, 4, 300, 9_000);
 
-  /** Two slots, otherwise the same: one more request is half of a server. */
+  /**
+   * Two slots, so that one request takes half of the capacity of a server; otherwise as {@link
+   * #SIX_SLOTS_CONNECTED}.
+   */
   static final ServerTraits TWO_SLOTS_CONNECTED = new ServerTraits(2, 4, 0.8, 1.7, 4, 300, 9_000);
 }
--- a/bench/src/main/java/org/magnoliaswitch/bench/model/World.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/Simulation.java
@@ -7,8 +7,8 @@
 import java.util.Random;
 import org.magnoliaswitch.front.version.ServerEntry;
 
-/** The parts of one replay: time, servers, instances and what becomes of requests. */
-final class World {
+/** The state of one replay: time, random numbers, servers and metrics. */
+final class Simulation {
   private static final int DATA_CENTRES = 3;
   private static final double NEAR_MILLIS = 0.2;
   private static final double FAR_MILLIS = 1.4;
@@ -17,9 +17,9 @@
   private final Deployment deployment;
   private final Random random;
   private final Map<String, List<ModelServer>> servers = new LinkedHashMap<>();
-  private final Scoreboard scoreboard = new Scoreboard();
+  private final ReplayMetrics metrics = new ReplayMetrics();
 
-  World(Pattern pattern, long seed) {
+  Simulation(LoadPattern pattern, long seed) {
     this.deployment = pattern.deployment();
     this.random = new Random(seed);
     for (Map.Entry<String, Integer> service : pattern.deployment().servers()) {
@@ -27,7 +27,7 @@
     }
   }
 
-  private List<ModelServer> servers(String service, int count, Pattern pattern) {
+  private List<ModelServer> servers(String service, int count, LoadPattern pattern) {
     List<ModelServer> list = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       ServerEntry entry =
@@ -66,15 +66,15 @@
     return servers.values();
   }
 
-  Scoreboard scoreboard() {
-    return scoreboard;
+  ReplayMetrics metrics() {
+    return metrics;
   }
 
   static String dataCentre(int index) {
     return "dc-" + index % DATA_CENTRES;
   }
 
-  /** One way between an instance and a server. */
+  /** Returns the network latency in one direction between an instance and a server. */
   static double networkMillis(int instance, ModelServer server) {
     return dataCentre(instance).equals(server.entry().dataCentre()) ? NEAR_MILLIS : FAR_MILLIS;
   }
--- a/bench/src/main/java/org/magnoliaswitch/bench/model/VirtualTime.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/VirtualTime.java
@@ -3,7 +3,7 @@
 import java.util.PriorityQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A clock that jumps from event to event. */
+/** A clock and event queue for discrete-event simulation; time advances from event to event. */
 final class VirtualTime {
   private record Event(long atNanos, long order, Runnable action) implements Comparable<Event> {
     @Override
@@ -42,7 +42,7 @@
         });
   }
 
-  /** Runs events until a moment; what is due later is dropped. */
+  /** Runs all events that are due until the given time; later events are not run. */
   void runUntilMillis(double millis) {
     long end = nanosOf(millis);
     while (!events.isEmpty() && events.peek().atNanos() <= end) {
--- a/bench/src/main/java/org/magnoliaswitch/bench/model/package-info.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/package-info.java
@@ -1,7 +1,7 @@
 /**
- * A model of callers, instances and backend servers in virtual time. The front's own decisions run
- * in it, so a load pattern can be replayed in a second and compared with simpler rules and with an
- * ideal.
+ * A discrete-event simulation of callers, instances and backend servers. It runs the decision code
+ * of the front, so that a load pattern can be replayed in a second and compared with simpler
+ * policies and with an ideal policy.
  */
 @NullMarked
 package org.magnoliaswitch.bench.model;
--- a/bench/src/test/java/org/magnoliaswitch/bench/model/LoadModelTest.java
+++ b/bench/src/test/java/org/magnoliaswitch/bench/model/LoadModelTest.java
@@ -6,45 +6,49 @@
 import java.util.Arrays;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
-import org.magnoliaswitch.bench.model.Scoreboard.Result;
+import org.magnoliaswitch.bench.model.ReplayMetrics.Result;
 import org.magnoliaswitch.front.load.Mechanism;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 /**
- * Load patterns replayed on the decisions alone, seeded and in virtual time. Each gain is shown by
- * the current decisions beside the same with the one mechanism switched off.
+ * Replays load patterns in a seeded simulation of the decisions of the front. Each test compares
+ * the current decisions with the same decisions without one mechanism.
  */
 public final class LoadModelTest {
-  private static Pattern pattern(String name) {
-    return Pattern.ALL.stream().filter(p -> p.name().equals(name)).findFirst().orElseThrow();
+  private static LoadPattern pattern(String name) {
+    return LoadPattern.ALL.stream().filter(p -> p.name().equals(name)).findFirst().orElseThrow();
   }
 
-  /** Tells a gain of 0.02 of the worst seconds from luck: six seeds vary by as much. */
+  /**
+   * Seeds for tests that detect a gain of 0.02 in the worst seconds, by which the mean of six seeds
+   * varies.
+   */
   private static final int MANY_SEEDS = 24;
 
   /**
-   * Takes servers that were not asked, where those asked are full. What mechanisms that find out
-   * more about servers are worth shows in full only beside this, since waiting for known room makes
-   * up for a part of them.
+   * Sends requests to servers without a fresh load sample when all probed servers are full. Tests
+   * of mechanisms that provide more load samples compare with this variant, because waiting for
+   * known capacity compensates for a part of their effect.
    */
-  private static final Way.Front GUESSING = Way.without(Mechanism.KNOWN_ROOM);
+  private static final PolicyVariant.Front WITHOUT_KNOWN_ROOM =
+      PolicyVariant.without(Mechanism.KNOWN_ROOM);
 
-  /** One pattern played under one way; several tests compare the same ones. */
-  private record Played(String pattern, Way way) {}
+  /** A pattern and a policy variant; several tests use the results of the same replays. */
+  private record Case(String pattern, PolicyVariant variant) {}
 
-  private static final Map<Played, Result> RESULTS = new ConcurrentHashMap<>();
+  private static final Map<Case, Result> RESULTS = new ConcurrentHashMap<>();
 
-  private static Result replay(String pattern, Way way) {
-    return RESULTS.computeIfAbsent(new Played(pattern, way), played -> play(pattern, way));
+  private static Result replay(String pattern, PolicyVariant variant) {
+    return RESULTS.computeIfAbsent(new Case(pattern, variant), key -> run(pattern, variant));
   }
 
-  private static Result play(String pattern, Way way) {
-    Result result = Replay.run(pattern(pattern), way, Replay.SEEDS);
+  private static Result run(String pattern, PolicyVariant variant) {
+    Result result = Replay.run(pattern(pattern), variant, Replay.DEFAULT_SEEDS);
     System.out.printf(
         "load-model: pattern=%s way=%s served=%.3f objective=%.3f credit=%.3f worst_second=%.3f%n",
         pattern,
-        way.name(),
+        variant.name(),
         result.served(),
         result.inTime(),
         result.credit(),
@@ -52,22 +56,22 @@
     return result;
   }
 
-  /** A replay that does not repeat could not tell a gain from luck. */
+  /** If replays with the same seeds differed, a gain could not be distinguished from chance. */
   @Test
-  public void aReplayRepeats() {
-    assertEquals(play("calm", Way.CURRENT), play("calm", Way.CURRENT));
+  public void replayIsDeterministic() {
+    assertEquals(run("calm", PolicyVariant.CURRENT), run("calm", PolicyVariant.CURRENT));
   }
 
   /**
-   * Callers press far beyond what the servers can run, and every server is full for moments. A
-   * request that is refused after an eighth of its objective uses up its caller's only second try,
-   * while answers that come meanwhile free slots for it. Waiting as long as it can be in time must
-   * help the worst seconds and refuse fewer callers twice.
+   * Guards against rejecting requests too early under overload. A request that is rejected after
+   * waiting for an eighth of its objective uses up the only retry of its caller, although slots
+   * become free while it could still be answered in time. Waiting for as long as an answer in time
+   * is possible must improve the worst seconds and reject fewer callers twice.
    */
   @Test(dataProvider = "overloads")
-  public void waitingWhileInTimeHelpsTheWorstSeconds(String name, double gain) {
-    Result before = Replay.run(pattern(name), Way.SHORT_WAIT, MANY_SEEDS);
-    Result after = Replay.run(pattern(name), Way.CURRENT, MANY_SEEDS);
+  public void waitingUntilTheObjectiveImprovesTheWorstSeconds(String name, double gain) {
+    Result before = Replay.run(pattern(name), PolicyVariant.SHORT_WAIT, MANY_SEEDS);
+    Result after = Replay.run(pattern(name), PolicyVariant.CURRENT, MANY_SEEDS);
     assertTrue(after.worstSecond() > before.worstSecond() + gain);
     assertTrue(after.inTime() > before.inTime());
     assertTrue(after.refusedTwice() < before.refusedTwice());
@@ -79,197 +83,214 @@
   }
 
   /**
-   * Many instances each see few requests. With all servers to choose from they know each one only
-   * from long ago; with a part of them their news are fresh, and more answers are in time.
+   * Many instances each receive few requests. If each uses all servers, its load samples are old;
+   * with a subset of the servers the samples are fresh, and more answers must be in time.
    */
   @Test
-  public void keepingToAPartOfALargeServiceBringsMoreAnswersInTime() {
-    double before = replay("grown", Way.without(Mechanism.SUBSET)).inTime();
-    double after = replay("grown", Way.CURRENT).inTime();
+  public void subsettingALargeServiceIncreasesAnswersInTime() {
+    double before = replay("grown", PolicyVariant.without(Mechanism.SUBSET)).inTime();
+    double after = replay("grown", PolicyVariant.CURRENT).inTime();
     assertTrue(after > before + 0.01, before + " to " + after);
   }
 
   /**
-   * A hundred instances send to servers with two slots, each to sixteen: two dozen of them see the
-   * same free server and meet there. With the number of senders of each server kept even and small
-   * they meet less, know it better and open fewer connections.
+   * A hundred instances send requests to servers with two slots. If each instance uses sixteen
+   * servers, two dozen instances send requests to the same free server at the same time. With a
+   * small and even number of senders for each server, the instances must collide less often and
+   * open fewer connections.
    */
-  @Test(dataProvider = "fewSlots")
-  public void anEvenNumberOfSendersHelpsServersWithTwoSlots(String name) {
-    Result before = replay(name, Way.SIXTEEN_SERVERS.without(Mechanism.KNOWN_ROOM));
-    Result after = replay(name, GUESSING);
+  @Test(dataProvider = "twoSlots")
+  public void evenNumberOfSendersImprovesServersWithTwoSlots(String name) {
+    Result before = replay(name, PolicyVariant.SIXTEEN_SERVERS.without(Mechanism.KNOWN_ROOM));
+    Result after = replay(name, WITHOUT_KNOWN_ROOM);
     assertTrue(after.inTime() > before.inTime() + 0.02, before + " to " + after);
     assertTrue(after.worstSecond() > before.worstSecond() + 0.05, before + " to " + after);
     assertTrue(after.connects() < before.connects() - 0.1, before + " to " + after);
   }
 
   @DataProvider
-  public Object[][] fewSlots() {
+  public Object[][] twoSlots() {
     return new Object[][] {{"two-slots"}, {"two-slots-burst"}, {"two-slots-lost"}};
   }
 
   /**
-   * Callers press on servers with two slots, of which one is left free so that work stays quick:
-   * half of each server, where it is a sixth of others. Filled while all others are busy, it must
-   * help the worst seconds and have fewer callers refused again.
+   * Servers with two slots are overloaded, and the knee leaves one slot free: half of the capacity
+   * of the server, compared with a sixth on servers with six slots. Filling the last slot while all
+   * other servers are busy must improve the worst seconds and reject fewer callers again.
    */
   @Test
-  public void fillingTheLastSlotHelpsServersWithTwo() {
-    Result before = replay("two-slots-burst", Way.without(Mechanism.LAST_SLOT));
-    Result after = replay("two-slots-burst", Way.CURRENT);
+  public void fillingTheLastSlotImprovesServersWithTwoSlots() {
+    Result before = replay("two-slots-burst", PolicyVariant.without(Mechanism.LAST_SLOT));
+    Result after = replay("two-slots-burst", PolicyVariant.CURRENT);
     assertTrue(after.inTime() > before.inTime() + 0.02, before + " to " + after);
     assertTrue(after.worstSecond() > before.worstSecond() + 0.05, before + " to " + after);
     assertTrue(after.refusedTwice() < before.refusedTwice(), before + " to " + after);
   }
 
   /**
-   * Neighbours slow two servers in five. When the three best turn out to be slow, those ranked next
-   * are known from long ago only; asking them as well must bring more answers in time.
+   * Noisy neighbours slow down two servers in five. When the three best servers turn out to be
+   * slow, the load samples of the next ones are old; probing those as well must lead to more
+   * answers in time.
    */
   @Test
-  public void aSecondRoundOfQuestionsHelpsBesideNoisyNeighbours() {
-    Way withoutRounds = GUESSING.without(Mechanism.FURTHER_ROUNDS);
-    double before = replay("noise", withoutRounds).inTime();
-    double after = replay("noise", GUESSING).inTime();
+  public void furtherProbeRoundsIncreaseAnswersInTimeWithNoisyNeighbours() {
+    PolicyVariant withoutFurtherRounds = WITHOUT_KNOWN_ROOM.without(Mechanism.FURTHER_ROUNDS);
+    double before = replay("noise", withoutFurtherRounds).inTime();
+    double after = replay("noise", WITHOUT_KNOWN_ROOM).inTime();
     assertTrue(after > before + 0.01, before + " to " + after);
   }
 
   /**
-   * Callers press on servers of which some are gone, and all that an instance asked are full. Sent
-   * to one that it did not ask, a request waits behind those of other instances, which guessed the
-   * same. Waiting here and asking others must bring more answers in time and help the worst
-   * seconds, on servers with few slots and with many.
+   * All servers that an instance has probed are full. A request that is sent to a server without a
+   * fresh load sample queues there behind requests of other instances that did the same. Waiting at
+   * the instance and probing other servers must lead to more answers in time and improve the worst
+   * seconds, on servers with few and with many slots.
    */
-  @Test(dataProvider = "pressed")
-  public void goingOnlyWhereRoomIsKnownHelpsWhenServersAreFull(String name) {
-    Result before = replay(name, Way.without(Mechanism.KNOWN_ROOM));
-    Result after = replay(name, Way.CURRENT);
+  @Test(dataProvider = "fullServers")
+  public void waitingForKnownCapacityImprovesServiceWhenServersAreFull(String name) {
+    Result before = replay(name, PolicyVariant.without(Mechanism.KNOWN_ROOM));
+    Result after = replay(name, PolicyVariant.CURRENT);
     assertTrue(after.inTime() > before.inTime() + 0.01, before + " to " + after);
     assertTrue(after.worstSecond() > before.worstSecond() + 0.02, before + " to " + after);
   }
 
   @DataProvider
-  public Object[][] pressed() {
+  public Object[][] fullServers() {
     return new Object[][] {{"two-slots-lost"}, {"two-slots-burst"}, {"burst-1.7"}, {"overload"}};
   }
 
   /**
-   * All servers of a data centre end without a word. The instances there sent two thirds of their
-   * requests to them, and refuse callers while servers elsewhere have room. With others in the
-   * place of those that cannot be reached, more answers must be in time and fewer callers be
-   * refused again.
+   * All servers of a data centre crash without notice. The instances there sent two thirds of their
+   * requests to them, and reject callers although servers in other data centres have capacity.
+   * Replacing the unreachable servers must lead to more answers in time and reject fewer callers
+   * again.
    */
   @Test
-  public void replacementsHelpInstancesWhoseDataCentreEnds() {
-    Result before = replay("two-slots-ended", Way.without(Mechanism.REPLACEMENTS));
-    Result after = replay("two-slots-ended", Way.CURRENT);
+  public void replacingUnreachableServersImprovesServiceWhenADataCentreCrashes() {
+    Result before = replay("two-slots-ended", PolicyVariant.without(Mechanism.REPLACEMENTS));
+    Result after = replay("two-slots-ended", PolicyVariant.CURRENT);
     assertTrue(after.inTime() > before.inTime() + 0.01, before + " to " + after);
     assertTrue(after.worstSecond() > before.worstSecond(), before + " to " + after);
     assertTrue(after.refusedTwice() < before.refusedTwice(), before + " to " + after);
   }
 
   /**
-   * The same while far more callers press than the servers that are left can serve. If all
-   * instances turned to those, they would meet at each free slot; the worst seconds may not pay for
-   * the days on which there is room.
+   * All servers of a data centre crash while the load far exceeds the capacity of the remaining
+   * servers. If all instances moved to the remaining servers, they would collide at every free
+   * slot. Replacing unreachable servers, which helps when there is spare capacity, must not make
+   * the worst seconds worse here.
    */
   @Test
-  public void replacementsDoNoHarmWhereThereIsNoRoom() {
-    Result before = replay("two-slots-ended-pressed", Way.without(Mechanism.REPLACEMENTS));
-    Result after = replay("two-slots-ended-pressed", Way.CURRENT);
+  public void replacingUnreachableServersDoesNoHarmWithoutSpareCapacity() {
+    Result before =
+        replay("two-slots-ended-pressed", PolicyVariant.without(Mechanism.REPLACEMENTS));
+    Result after = replay("two-slots-ended-pressed", PolicyVariant.CURRENT);
     assertTrue(after.inTime() > before.inTime() - 0.02, before + " to " + after);
     assertTrue(after.worstSecond() > before.worstSecond() - 0.03, before + " to " + after);
   }
 
   /**
-   * A burst leaves behind callers with long patience, who come back late. If they keep half of the
-   * slots busy, those that could be in time wait until they are late as well, and so on.
+   * After a burst, callers with long timeouts retry late. If late requests keep half of the slots
+   * busy, requests that could be answered in time wait until they are late as well, and the
+   * overload outlasts the burst.
    */
   @Test
-  public void lateRequestsYieldWhileOthersWait() {
-    Result before = replay("aftermath", Way.without(Mechanism.YIELDING));
-    Result after = replay("aftermath", Way.CURRENT);
+  public void yieldingLateRequestsImprovesTheWorstSeconds() {
+    Result before = replay("aftermath", PolicyVariant.without(Mechanism.YIELDING));
+    Result after = replay("aftermath", PolicyVariant.CURRENT);
     assertTrue(after.inTime() > before.inTime() + 0.01);
     assertTrue(after.worstSecond() > before.worstSecond() + 0.02);
   }
 
   /**
-   * A neighbour slows a server down, a request starts there and is slow to its end. It is late for
-   * certain and keeps a slot that would serve five others. Waiting for a server where it can be in
-   * time must bring more answers in time and help the worst seconds.
+   * A request that starts on a server with a noisy neighbour is slow until it completes. It is
+   * certain to be late and occupies a slot that could serve five other requests. Waiting for a
+   * server whose answer is expected in time must lead to more answers in time and improve the worst
+   * seconds.
    */
-  @Test(dataProvider = "startsInTime")
-  public void startingOnlyWhereTheAnswerCanBeInTimeHelps(String name) {
-    Result before = replay(name, Way.without(Mechanism.START_IN_TIME));
-    Result after = replay(name, Way.CURRENT);
+  @Test(dataProvider = "slowServers")
+  public void startingOnlyWhereTheAnswerIsExpectedInTimeImprovesTheWorstSeconds(String name) {
+    Result before = replay(name, PolicyVariant.without(Mechanism.START_IN_TIME));
+    Result after = replay(name, PolicyVariant.CURRENT);
     assertTrue(after.inTime() > before.inTime() + 0.02);
     assertTrue(after.worstSecond() > before.worstSecond() + 0.03);
   }
 
   @DataProvider
-  public Object[][] startsInTime() {
+  public Object[][] slowServers() {
     return new Object[][] {{"burst-1.7"}, {"grown"}, {"few-slots"}, {"few-slots-3"}};
   }
 
   /**
-   * Answers' reports count the request that they answer. With three slots a server looked full
-   * whenever a slot had become free, and the next in line was not sent there.
+   * The load sample in an answer includes the answered request. If it is not subtracted, a server
+   * with three slots appears full whenever a slot becomes free, and the next queued request is not
+   * sent to it.
    */
   @Test
-  public void reportsWithoutTheAnsweredRequestHelpServersWithFewSlots() {
-    Result before = replay("few-slots-3", Way.without(Mechanism.EXACT_REPORTS));
-    Result after = replay("few-slots-3", Way.CURRENT);
+  public void subtractingTheAnsweredRequestImprovesServersWithFewSlots() {
+    Result before = replay("few-slots-3", PolicyVariant.without(Mechanism.EXACT_REPORTS));
+    Result after = replay("few-slots-3", PolicyVariant.CURRENT);
     assertTrue(after.worstSecond() > before.worstSecond() + 0.02);
     assertTrue(after.refusedTwice() < before.refusedTwice());
   }
 
   /**
-   * All servers of a service reject half of what they get for five seconds, and every rejected
-   * request wants a second send. Given to callers that could come back, the budget is gone when
-   * others have come back and are refused again.
+   * All servers of a service reject half of their requests for five seconds, and every rejected
+   * request needs a second attempt. If the retry budget is spent on callers that could retry
+   * themselves, none is left for callers that have already retried, and these are rejected again.
    */
   @Test
-  public void furtherSendsForThoseWhoCannotComeBackHelpTheWorstSeconds() {
-    Way without = Way.without(Mechanism.LAST_TRIES_FIRST);
+  public void furtherAttemptsForCallersWithoutRetriesImproveTheWorstSeconds() {
+    PolicyVariant without = PolicyVariant.without(Mechanism.LAST_TRIES_FIRST);
     Result before = Replay.run(pattern("rejecting"), without, MANY_SEEDS);
-    Result after = Replay.run(pattern("rejecting"), Way.CURRENT, MANY_SEEDS);
+    Result after = Replay.run(pattern("rejecting"), PolicyVariant.CURRENT, MANY_SEEDS);
     assertTrue(after.worstSecond() > before.worstSecond() + 0.01);
     assertTrue(after.refusedTwice() < before.refusedTwice());
   }
 
   /**
-   * Each of 152 instances sees three requests a second over three services. Going from one server
-   * to the next it would open a connection for every second request, each of which takes a slot of
-   * its server for a moment.
+   * Each of 152 instances receives three requests per second for three services. If an instance
+   * changed servers with every request, it would open a connection for every second request, and
+   * each new connection occupies a slot of its server for a short time.
    */
   @Test
-  public void anInstanceThatSeesFewRequestsKeepsToTheServersItIsConnectedWith() {
-    Result result = replay("large", Way.CURRENT);
-    assertTrue(result.connects() < 0.5, "connections a request " + result.connects());
-    assertTrue(result.worstSecond() > 0.97, "worst seconds " + result.worstSecond());
+  public void instanceWithFewRequestsReusesConnections() {
+    Result result = replay("large", PolicyVariant.CURRENT);
+    assertTrue(result.connects() < 0.5, "connections per request: " + result.connects());
+    assertTrue(
+        result.worstSecond() > 0.97,
+        "share of the value in the worst seconds: " + result.worstSecond());
   }
 
   @DataProvider
   public Object[][] patterns() {
-    return Pattern.ALL.stream().map(p -> new Object[] {p.name()}).toArray(Object[][]::new);
+    return LoadPattern.ALL.stream().map(p -> new Object[] {p.name()}).toArray(Object[][]::new);
   }
 
-  /** No pattern may be bought with another: each must beat the rules that know nothing. */
+  /**
+   * Guards against improving one pattern at the expense of another: the current decisions must be
+   * better than the simpler policies in each pattern.
+   */
   @Test(dataProvider = "patterns")
-  public void everyPatternIsServedBetterThanBySimplerRules(String name) {
-    Result current = replay(name, Way.CURRENT);
-    for (Way simple : Arrays.asList(Way.ROUND_ROBIN, Way.LEAST_REQUESTS, Way.UNBOUNDED)) {
+  public void everyPatternIsServedBetterThanBySimplerPolicies(String name) {
+    Result current = replay(name, PolicyVariant.CURRENT);
+    for (PolicyVariant simple :
+        Arrays.asList(
+            PolicyVariant.ROUND_ROBIN, PolicyVariant.LEAST_REQUESTS, PolicyVariant.UNBOUNDED)) {
       Result other = replay(name, simple);
       assertTrue(current.inTime() > other.inTime(), name + " " + simple.name());
       assertTrue(current.worstSecond() > other.worstSecond(), name + " " + simple.name());
     }
   }
 
-  /** The distance to perfect knowledge stays within a fifth of the answers in time. */
+  /**
+   * The current decisions answer at least four fifths as many requests in time as the ideal policy,
+   * that is, they lose at most a fifth.
+   */
   @Test(dataProvider = "patterns")
-  public void everyPatternStaysNearTheIdeal(String name) {
-    Result current = replay(name, Way.CURRENT);
-    Result ideal = replay(name, Way.IDEAL);
+  public void everyPatternStaysNearTheIdealPolicy(String name) {
+    Result current = replay(name, PolicyVariant.CURRENT);
+    Result ideal = replay(name, PolicyVariant.IDEAL);
     assertTrue(current.inTime() > 0.8 * ideal.inTime(), name);
   }
 }
