--- a/bench/src/main/java/org/magnoliaswitch/bench/CallerSession.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/CallerSession.java
@@ -15,33 +15,34 @@
 import org.magnoliaswitch.core.connection.ConnectionPool;
 import org.magnoliaswitch.standins.AnswerBody;
 
-/** Callers' connections to one instance, or to one backend server for direct runs. */
+/** The connections of callers to one instance, or to one backend server in direct runs. */
 final class CallerSession {
   private static final int MAX_CONNECTIONS = 20_000;
-  private static final int CONNECT_MILLIS = 1_000;
+  private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
   private static final int OK = 200;
 
-  /** How long callers keep a connection they do not use. */
+  /** Idle time after which callers close a connection. */
   private static final long KEEP_ALIVE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   /**
-   * What one try brought.
+   * The result of one attempt.
    *
-   * @param verdict what the caller knows
-   * @param copyNotExecuted whether this copy of the request was certainly not executed
-   * @param status HTTP status, 0 without an answer
-   * @param retryAfterSeconds when to come back, 0 when not told
-   * @param nextKey a key issued with the answer
+   * @param verdict what the caller knows about the execution
+   * @param attemptNotExecuted whether this attempt was certainly not executed
+   * @param status HTTP status; 0 if there was no answer
+   * @param retryAfterSeconds time after which the caller may retry; 0 if not given
+   * @param nextKey idempotency key issued with the answer
    * @param server backend server that answered
    */
-  record Try(
+  record AttemptResult(
       Verdict verdict,
-      boolean copyNotExecuted,
+      boolean attemptNotExecuted,
       int status,
       int retryAfterSeconds,
       Optional<String> nextKey,
       String server) {
-    static final Try FAILED = new Try(Verdict.NO_ANSWER, false, 0, 0, Optional.empty(), "");
+    static final AttemptResult FAILED =
+        new AttemptResult(Verdict.NO_ANSWER, false, 0, 0, Optional.empty(), "");
   }
 
   private volatile boolean healthy = true;
@@ -64,9 +65,9 @@
   /**
    * Sends one request.
    *
-   * @param operation names what the caller wants, the same over its tries
+   * @param operation identifies the operation; the same for all attempts of a request
    */
-  Try send(
+  AttemptResult send(
       Scenario.LoadKind kind,
       String operation,
       Optional<String> key,
@@ -77,35 +78,37 @@
     request.setHeader("X-Request-Id", operation + '-' + attempt);
     request.setHeader("Operation-Id", operation);
     request.setHeader("Request-Attempt", String.valueOf(attempt));
-    long left = deadlineNanos - clocks.nanos();
+    long remaining = deadlineNanos - clocks.nanos();
     request.setHeader(
-        "Request-Timeout-Ms", String.valueOf(Math.max(1, TimeUnit.NANOSECONDS.toMillis(left))));
+        "Request-Timeout-Ms",
+        String.valueOf(Math.max(1, TimeUnit.NANOSECONDS.toMillis(remaining))));
     key.ifPresent(k -> request.setHeader("Idempotency-Key", k));
     if (!kind.method().equals("GET")) {
       byte[] body = ("operation=" + operation).getBytes(StandardCharsets.UTF_8);
       request.setHeader("Content-Length", String.valueOf(body.length));
       request.setEntity(new ByteArrayEntity(body, null));
     }
-    return exchange(request, kind, operation, left);
+    return exchange(request, kind, operation, remaining);
   }
 
-  private Try exchange(
-      BasicClassicHttpRequest request, Scenario.LoadKind kind, String operation, long left) {
-    if (left <= 0) {
-      return Try.FAILED;
+  private AttemptResult exchange(
+      BasicClassicHttpRequest request, Scenario.LoadKind kind, String operation, long remaining) {
+    if (remaining <= 0) {
+      return AttemptResult.FAILED;
     }
     BackendConnection connection;
     try {
-      connection = pool.acquire(KEEP_ALIVE_NANOS, CONNECT_MILLIS);
+      connection = pool.acquire(KEEP_ALIVE_NANOS, CONNECT_TIMEOUT_MILLIS);
     } catch (IOException e) {
-      return Try.FAILED;
+      return AttemptResult.FAILED;
     }
     boolean keep = false;
     try {
-      // Callers wait a little past their deadline, so that a late answer is seen as late.
-      long whole = left + TimeUnit.MILLISECONDS.toNanos(500);
-      long patience = TimeUnit.MILLISECONDS.toNanos(kind.deadlineMillis() * 2L / 5);
-      connection.setReadTimeout(kind.tries() > 1 ? Math.min(whole, patience) : whole);
+      // Waits slightly longer than the deadline, so that a late answer is counted as late instead
+      // of missing.
+      long maxWait = remaining + TimeUnit.MILLISECONDS.toNanos(500);
+      long attemptTimeout = TimeUnit.MILLISECONDS.toNanos(kind.deadlineMillis() * 2L / 5);
+      connection.setReadTimeout(kind.tries() > 1 ? Math.min(maxWait, attemptTimeout) : maxWait);
       connection.send(request);
       ClassicHttpResponse response = connection.receiveHead();
       connection.receiveBody(response);
@@ -117,7 +120,7 @@
       keep = close == null || !"close".equalsIgnoreCase(close.getValue());
       return read(response, body, kind, operation);
     } catch (IOException | HttpException e) {
-      return Try.FAILED;
+      return AttemptResult.FAILED;
     } finally {
       if (keep) {
         pool.release(connection);
@@ -127,7 +130,7 @@
     }
   }
 
-  private static Try read(
+  private static AttemptResult read(
       ClassicHttpResponse response, byte[] body, Scenario.LoadKind kind, String operation) {
     String outcome = header(response, "Request-Outcome").orElse("");
     int status = response.getCode();
@@ -143,58 +146,58 @@
       verdict = outcome.equals("not-executed") || direct ? Verdict.NOT_EXECUTED : Verdict.UNKNOWN;
     }
     int retryAfter = header(response, "Retry-After").map(Integer::parseInt).orElse(0);
-    boolean copyNotExecuted =
+    boolean attemptNotExecuted =
         verdict == Verdict.NOT_EXECUTED || header(response, "Attempt-Outcome").isPresent();
-    return new Try(
+    return new AttemptResult(
         verdict,
-        copyNotExecuted,
+        attemptNotExecuted,
         status,
         retryAfter,
         header(response, "Issued-Idempotency-Key"),
         header(response, "Server-Id").orElse(""));
   }
 
-  /** Whether the balancer in front would send requests here. */
+  /** Whether the external load balancer would send requests to this instance. */
   boolean healthy() {
     return healthy;
   }
 
-  /** The health check of the balancer in front. */
+  /** Runs the health check of the external load balancer. */
   void checkHealth() {
     healthy = fetch("/.well-known/magnoliaswitch/ready").isPresent();
   }
 
-  /** Asks the instance for a key. */
+  /** Requests an idempotency key from the instance. */
   Optional<String> issueKey() {
     return fetch("/.well-known/magnoliaswitch/keys");
   }
 
-  /** Asks what became of a key; nothing while nobody can tell. */
+  /** Queries the outcome of a key; empty while the outcome is unknown. */
   Optional<Verdict> outcome(String service, String key) {
     String path = "/.well-known/magnoliaswitch/outcomes?service=" + service + "&key=" + key;
-    return exchange(path).flatMap(CallerSession::told);
+    return exchange(path).flatMap(CallerSession::toVerdict);
   }
 
-  private static Optional<Verdict> told(Told told) {
-    return switch (told.outcome()) {
+  private static Optional<Verdict> toVerdict(Response response) {
+    return switch (response.outcome()) {
       case "executed" -> Optional.of(Verdict.EXECUTED);
       case "not-executed" -> Optional.of(Verdict.NOT_EXECUTED);
       default -> Optional.empty();
     };
   }
 
-  private record Told(int status, String outcome, String text) {}
+  private record Response(int status, String outcome, String text) {}
 
   private Optional<String> fetch(String path) {
-    return exchange(path).filter(told -> told.status() == OK).map(Told::text);
+    return exchange(path).filter(response -> response.status() == OK).map(Response::text);
   }
 
-  private Optional<Told> exchange(String path) {
+  private Optional<Response> exchange(String path) {
     BasicClassicHttpRequest request = new BasicClassicHttpRequest("GET", path);
     request.setHeader("Host", host);
     try {
-      BackendConnection connection = pool.acquire(KEEP_ALIVE_NANOS, CONNECT_MILLIS);
-      boolean whole = false;
+      BackendConnection connection = pool.acquire(KEEP_ALIVE_NANOS, CONNECT_TIMEOUT_MILLIS);
+      boolean keep = false;
       try {
         connection.setReadTimeout(TimeUnit.SECONDS.toNanos(1));
         connection.send(request);
@@ -202,11 +205,11 @@
         connection.receiveBody(response);
         String text =
             new String(response.getEntity().getContent().readAllBytes(), StandardCharsets.UTF_8);
-        whole = response.getFirstHeader("Connection") == null;
+        keep = response.getFirstHeader("Connection") == null;
         String outcome = header(response, "Request-Outcome").orElse("");
-        return Optional.of(new Told(response.getCode(), outcome, text.strip()));
+        return Optional.of(new Response(response.getCode(), outcome, text.strip()));
       } finally {
-        if (whole) {
+        if (keep) {
           pool.release(connection);
         } else {
           pool.discard(connection);
--- a/bench/src/main/java/org/magnoliaswitch/bench/LoadGenerator.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/LoadGenerator.java
@@ -11,17 +11,18 @@
 import org.magnoliaswitch.core.clock.Clocks;
 
 /**
- * Open-loop load: requests start at their intended times whatever became of earlier ones, and their
- * latency counts from there, so that a slow system cannot hide its delay by slowing the load.
+ * Generates open-loop load: requests start at their intended times regardless of earlier requests,
+ * and latency is measured from the intended start, so that a slow system cannot hide its delay by
+ * slowing down the load.
  */
 final class LoadGenerator {
-  private static final double NANOS = 1e9;
-  private static final long PROGRESS_NANOS = TimeUnit.SECONDS.toNanos(5);
-  private static final long HEALTH_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
-  private static final int MAX_QUESTIONS = 16;
-  private static final long QUESTION_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  private static final double NANOS_PER_SECOND = 1e9;
+  private static final long PROGRESS_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(5);
+  private static final long HEALTH_CHECK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+  private static final int MAX_OUTCOME_QUERIES = 16;
+  private static final long OUTCOME_QUERY_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
   private static final int MAX_SPARE_KEYS = 200;
-  private static final long BACKOFF_MILLIS = 20;
+  private static final long INITIAL_BACKOFF_MILLIS = 20;
 
   private final Scenario scenario;
   private final List<CallerSession> sessions;
@@ -29,38 +30,46 @@
   private final Recorder recorder = new Recorder();
   private final ConcurrentLinkedQueue<String> spareKeys = new ConcurrentLinkedQueue<>();
   private final String run;
-  private final boolean resend;
+  private final boolean freshKeys;
   private final Phaser running = new Phaser(1);
 
   LoadGenerator(
-      Scenario scenario, List<CallerSession> sessions, Clocks clocks, String run, boolean resend) {
+      Scenario scenario,
+      List<CallerSession> sessions,
+      Clocks clocks,
+      String run,
+      boolean freshKeys) {
     this.scenario = scenario;
     this.sessions = sessions;
     this.clocks = clocks;
     this.run = run;
-    this.resend = resend;
+    this.freshKeys = freshKeys;
   }
 
   Recorder recorder() {
     return recorder;
   }
 
-  /** The balancer in front: checks every instance again and again until the run ends. */
-  void startBalancer() {
+  /**
+   * Simulates the health checks of the external load balancer for every instance until the run
+   * ends.
+   */
+  void startHealthChecks() {
     for (CallerSession session : sessions) {
       Thread.ofVirtual()
           .start(
               () -> {
                 while (!running.isTerminated()) {
                   session.checkHealth();
-                  LockSupport.parkNanos(HEALTH_NANOS);
+                  LockSupport.parkNanos(HEALTH_CHECK_INTERVAL_NANOS);
                 }
               });
     }
   }
 
   /**
-   * Sends requests at the first rate without recording them, so that a cold start is not measured.
+   * Sends requests at the initial rate without recording them, so that a cold start is not
+   * measured.
    */
   void warmUp(double seconds) {
     if (seconds > 0) {
@@ -78,10 +87,10 @@
     return length;
   }
 
-  private double send(List<Scenario.Phase> phases, Recorder into, String prefix) {
+  private double send(List<Scenario.Phase> phases, Recorder target, String prefix) {
     SplittableRandom random = new SplittableRandom(scenario.seed());
     long start = clocks.nanos();
-    long progress = start + PROGRESS_NANOS;
+    long progress = start + PROGRESS_INTERVAL_NANOS;
     double offset = 0;
     long number = 0;
     for (Scenario.Phase phase : phases) {
@@ -92,21 +101,23 @@
         if (at >= phase.seconds()) {
           break;
         }
-        long intended = start + (long) ((offset + at) * NANOS);
+        long intended = start + (long) ((offset + at) * NANOS_PER_SECOND);
         waitUntil(intended);
         int slice = (int) ((offset + at) / Recorder.SLICE_SECONDS);
         String operation = prefix + '-' + number++;
-        begin(new Begun(pick(random), operation, intended, slice, random.nextLong(), into));
+        start(
+            new StartedRequest(
+                selectKind(random), operation, intended, slice, random.nextLong(), target));
         progress = progress(progress, number);
       }
       offset += phase.seconds();
-      waitUntil(start + (long) (offset * NANOS));
+      waitUntil(start + (long) (offset * NANOS_PER_SECOND));
     }
     return offset;
   }
 
-  /** A request that was begun. */
-  private record Begun(
+  /** A request that the load generator has started. */
+  private record StartedRequest(
       Scenario.LoadKind kind,
       String operation,
       long intendedNanos,
@@ -131,10 +142,10 @@
         recorder.count(Verdict.NOT_EXECUTED),
         recorder.count(Verdict.UNKNOWN),
         recorder.count(Verdict.NO_ANSWER));
-    return due + PROGRESS_NANOS;
+    return due + PROGRESS_INTERVAL_NANOS;
   }
 
-  private Scenario.LoadKind pick(SplittableRandom random) {
+  private Scenario.LoadKind selectKind(SplittableRandom random) {
     double total = scenario.kinds().stream().mapToDouble(Scenario.LoadKind::share).sum();
     double draw = random.nextDouble() * total;
     for (Scenario.LoadKind kind : scenario.kinds()) {
@@ -146,78 +157,79 @@
     return scenario.kinds().getLast();
   }
 
-  private void begin(Begun begun) {
-    begun.recorder().offered(begun.kind(), begun.slice());
+  private void start(StartedRequest request) {
+    request.recorder().recordOffered(request.kind(), request.slice());
     running.register();
     Thread.ofVirtual()
         .start(
             () -> {
               try {
-                Verdict verdict = tryAll(begun);
-                begun
+                Verdict verdict = sendWithRetries(request);
+                request
                     .recorder()
-                    .ended(
-                        begun.kind(),
-                        begun.slice(),
-                        begun.operation(),
+                    .recordOutcome(
+                        request.kind(),
+                        request.slice(),
+                        request.operation(),
                         verdict,
-                        clocks.nanos() - begun.intendedNanos());
+                        clocks.nanos() - request.intendedNanos());
               } finally {
                 running.arriveAndDeregister();
               }
             });
   }
 
-  /** What a careful caller does: the same key until the answer is final or the time is up. */
-  private Verdict tryAll(Begun begun) {
-    Scenario.LoadKind kind = begun.kind();
-    String operation = begun.operation();
-    long choice = begun.choice();
-    long deadline = begun.intendedNanos() + TimeUnit.MILLISECONDS.toNanos(kind.deadlineMillis());
+  /** Retries a request with the same key until the answer is final or the deadline has passed. */
+  private Verdict sendWithRetries(StartedRequest request) {
+    Scenario.LoadKind kind = request.kind();
+    String operation = request.operation();
+    long choice = request.choice();
+    long deadline = request.intendedNanos() + TimeUnit.MILLISECONDS.toNanos(kind.deadlineMillis());
     Optional<String> key = key(kind, operation, choice);
     Verdict last = Verdict.NO_ANSWER;
-    boolean everyCopyNotRun = true;
+    boolean noAttemptExecuted = true;
     for (int attempt = 1; attempt <= kind.tries(); attempt++) {
-      CallerSession session = session(choice + attempt - 1);
-      begun.recorder().tried();
-      CallerSession.Try result = session.send(kind, operation, key, attempt, deadline);
-      result.nextKey().ifPresent(this::keepKey);
+      CallerSession session = selectSession(choice + attempt - 1);
+      request.recorder().recordAttempt();
+      CallerSession.AttemptResult result = session.send(kind, operation, key, attempt, deadline);
+      result.nextKey().ifPresent(this::addSpareKey);
       last = result.verdict();
       if (last == Verdict.EXECUTED || last == Verdict.WRONG) {
         return last;
       }
-      everyCopyNotRun &= result.copyNotExecuted();
+      noAttemptExecuted &= result.attemptNotExecuted();
       if (kind.keys() == Scenario.Keys.ISSUED
           && result.status() == 409
           && last == Verdict.NOT_EXECUTED) {
-        // The key's instance is gone without having run it: a new key is safe.
+        // The instance that issued the key is gone and has not executed the request, so a new key
+        // is safe.
         spareKeys.clear();
         key = key(kind, operation, choice + attempt);
-        everyCopyNotRun = true;
+        noAttemptExecuted = true;
       }
-      long pause = TimeUnit.MILLISECONDS.toNanos(BACKOFF_MILLIS << Math.min(4, attempt));
+      long pause = TimeUnit.MILLISECONDS.toNanos(INITIAL_BACKOFF_MILLIS << Math.min(4, attempt));
       if (attempt == kind.tries() || clocks.nanos() + pause >= deadline) {
         break;
       }
       LockSupport.parkNanos(pause);
     }
-    if (everyCopyNotRun) {
+    if (noAttemptExecuted) {
       return Verdict.NOT_EXECUTED;
     }
     return last == Verdict.NOT_EXECUTED || key.isEmpty()
         ? last
-        : askLater(kind, key.get(), last, choice);
+        : queryOutcome(kind, key.get(), last, choice);
   }
 
-  /** Asks for the outcome of a key for some seconds, as a caller who must know would. */
-  private Verdict askLater(Scenario.LoadKind kind, String key, Verdict last, long choice) {
+  /** Queries the outcome of a key for some seconds, as a caller does that needs to know it. */
+  private Verdict queryOutcome(Scenario.LoadKind kind, String key, Verdict last, long choice) {
     String service = kind.path().split("/", -1)[1];
-    for (int i = 0; i < MAX_QUESTIONS; i++) {
-      Optional<Verdict> told = session(choice + i).outcome(service, key);
-      if (told.isPresent()) {
-        return told.get();
+    for (int i = 0; i < MAX_OUTCOME_QUERIES; i++) {
+      Optional<Verdict> outcome = selectSession(choice + i).outcome(service, key);
+      if (outcome.isPresent()) {
+        return outcome.get();
       }
-      LockSupport.parkNanos(QUESTION_NANOS);
+      LockSupport.parkNanos(OUTCOME_QUERY_INTERVAL_NANOS);
     }
     return last;
   }
@@ -226,17 +238,17 @@
     return switch (kind.keys()) {
       case NONE -> Optional.empty();
       case OWN -> Optional.of("own-" + operation);
-      case ISSUED -> issued(choice);
+      case ISSUED -> issuedKey(choice);
     };
   }
 
-  private Optional<String> issued(long choice) {
+  private Optional<String> issuedKey(long choice) {
     String spare = spareKeys.poll();
     if (spare != null) {
       return Optional.of(spare);
     }
     for (int i = 0; i < 3; i++) {
-      Optional<String> key = session(choice + i).issueKey();
+      Optional<String> key = selectSession(choice + i).issueKey();
       if (key.isPresent()) {
         return key;
       }
@@ -244,13 +256,13 @@
     return Optional.empty();
   }
 
-  private void keepKey(String key) {
-    if (!resend && spareKeys.size() < MAX_SPARE_KEYS) {
+  private void addSpareKey(String key) {
+    if (!freshKeys && spareKeys.size() < MAX_SPARE_KEYS) {
       spareKeys.add(key);
     }
   }
 
-  private CallerSession session(long choice) {
+  private CallerSession selectSession(long choice) {
     int first = (int) Math.floorMod(choice, (long) sessions.size());
     for (int i = 0; i < sessions.size(); i++) {
       CallerSession candidate = sessions.get((first + i) % sessions.size());
@@ -261,7 +273,7 @@
     return sessions.get(first);
   }
 
-  /** A run id that no other run has. */
+  /** Returns a random identifier for the run. */
   static String runId() {
     return Long.toString(ThreadLocalRandom.current().nextLong(1L << 40), 36);
   }
--- a/bench/src/main/java/org/magnoliaswitch/bench/LoadMain.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/LoadMain.java
@@ -20,33 +20,37 @@
 /** Command line of {@code magnolia-load}. */
 public final class LoadMain {
   private static final int FAILED = 1;
-  private static final int USAGE = 2;
+  private static final int USAGE_ERROR = 2;
 
   private final OptionParser parser = new OptionParser();
   private final OptionSpec<String> scenario =
       parser.accepts("scenario", "JSON file with phases and kinds").withRequiredArg();
   private final OptionSpec<String> entries =
-      parser.accepts("entries", "host:port of the instances, by comma").withRequiredArg();
+      parser
+          .accepts("entries", "host:port of the instances, separated by commas")
+          .withRequiredArg();
   private final OptionSpec<Double> rate =
       parser
-          .accepts("scale-rate", "factor on all rates")
+          .accepts("scale-rate", "factor by which all rates are multiplied")
           .withRequiredArg()
           .ofType(Double.class)
           .defaultsTo(1.0);
   private final OptionSpec<Double> time =
       parser
-          .accepts("scale-time", "factor on the lengths of all phases")
+          .accepts("scale-time", "factor by which the lengths of all phases are multiplied")
           .withRequiredArg()
           .ofType(Double.class)
           .defaultsTo(1.0);
   private final OptionSpec<String> truth =
       parser
-          .accepts("standin-control", "compare with what these stand-ins executed")
+          .accepts(
+              "standin-control",
+              "URL of the stand-ins whose executions are compared with the answers")
           .withRequiredArg();
   private final OptionSpec<String> out =
-      parser.accepts("out", "write the result as JSON").withRequiredArg();
+      parser.accepts("out", "file for the result as JSON").withRequiredArg();
   private final OptionSpec<String> plot =
-      parser.accepts("plot", "draw the run as PNG").withRequiredArg();
+      parser.accepts("plot", "file for the plot of the run as PNG").withRequiredArg();
   private final OptionSpec<Double> warmUp =
       parser
           .accepts("warm-up", "seconds at the first rate that are not recorded")
@@ -54,19 +58,18 @@
           .ofType(Double.class)
           .defaultsTo(0.0);
   private final OptionSpec<Void> direct =
-      parser.accepts("direct", "the addresses are backend servers: no health checks");
+      parser.accepts("direct", "treat the addresses as backend servers, without health checks");
   private final OptionSpec<Void> strict =
-      parser.accepts("strict", "exit with 1 unless every request was answered whole");
+      parser.accepts("strict", "exit with 1 unless every request received a complete answer");
   private final OptionSpec<Void> freshKeys =
       parser.accepts(
-          "fresh-keys",
-          "ask for an issued key each time instead of using those that rode on answers");
+          "fresh-keys", "request a key for each request instead of using keys issued with answers");
   private final OptionSpec<Void> help = parser.accepts("help", "print this text").forHelp();
   private final OptionSpec<Void> version = parser.accepts("version", "print the version").forHelp();
 
   private LoadMain() {}
 
-  /** Generates load; exits with 0, 1 for failures or 2 for unusable arguments. */
+  /** Generates load; exits with 0 on success, 1 on failure or 2 on invalid arguments. */
   public static void main(String[] arguments) throws IOException {
     System.exit(new LoadMain().run(arguments));
   }
@@ -75,7 +78,7 @@
     try {
       OptionSet options = parser.parse(arguments);
       if (options.has(help)) {
-        System.out.println("magnolia-load: open-loop load with checks of every answer\n");
+        System.out.println("magnolia-load: generates open-loop load and checks every answer\n");
         parser.printHelpOn(System.out);
         return 0;
       }
@@ -84,11 +87,11 @@
         return 0;
       }
       if (!options.has(scenario) || !options.has(entries)) {
-        return fail(USAGE, "--scenario and --entries are needed; see --help");
+        return fail(USAGE_ERROR, "--scenario and --entries are required; see --help");
       }
       return load(options);
     } catch (OptionException e) {
-      return fail(USAGE, e.getMessage() + "; see --help");
+      return fail(USAGE_ERROR, e.getMessage() + "; see --help");
     } catch (IOException e) {
       return fail(FAILED, e.toString());
     }
@@ -101,7 +104,7 @@
         SnapshotParser.readDocument(
             file.toString(), Files.readAllBytes(file), Scenario.class, problems);
     if (read.isEmpty()) {
-      return fail(USAGE, problems.getFirst().toString());
+      return fail(USAGE_ERROR, problems.getFirst().toString());
     }
     Scenario scaled = read.get().scaled(options.valueOf(rate), options.valueOf(time));
     Clocks clocks = Clocks.system();
@@ -112,18 +115,18 @@
     LoadGenerator generator =
         new LoadGenerator(scaled, sessions, clocks, LoadGenerator.runId(), options.has(freshKeys));
     if (!options.has(direct)) {
-      generator.startBalancer();
+      generator.startHealthChecks();
     }
     generator.warmUp(options.valueOf(warmUp));
     double length = generator.run();
-    LoadResult.Truth compared =
+    LoadResult.Truth comparison =
         options.has(truth)
             ? TruthCheck.check(generator.recorder(), URI.create(options.valueOf(truth)))
             : LoadResult.Truth.NONE;
-    LoadResult result = generator.recorder().result(scaled, length, compared);
+    LoadResult result = generator.recorder().result(scaled, length, comparison);
     report(result, options);
-    boolean whole = result.answered() == result.offered() && result.wrong() == 0;
-    return options.has(strict) && !whole ? FAILED : 0;
+    boolean allAnswered = result.answered() == result.offered() && result.wrong() == 0;
+    return options.has(strict) && !allAnswered ? FAILED : 0;
   }
 
   private void report(LoadResult result, OptionSet options) throws IOException {
--- a/bench/src/main/java/org/magnoliaswitch/bench/LoadPlot.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/LoadPlot.java
@@ -7,7 +7,10 @@
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
 
-/** Draws a run: offered and answered in time per second, and the 99th percentile. */
+/**
+ * Plots a run: requests offered and answered in time per time slice, and the 99th percentile of
+ * latency.
+ */
 final class LoadPlot {
   private static final int WIDTH = 900;
   private static final int HEIGHT = 500;
--- a/bench/src/main/java/org/magnoliaswitch/bench/LoadResult.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/LoadResult.java
@@ -4,26 +4,27 @@
 import java.util.Map;
 
 /**
- * What a run of the load tool found.
+ * The result of a run of the load tool.
  *
  * @param seconds length of the run
- * @param offered requests begun
- * @param answered whole own answers
- * @param late whole own answers after the deadline
- * @param notExecuted callers told that it was not executed
- * @param unknown callers told that nobody knows
- * @param wrong answers that were not the caller's own whole one
+ * @param offered requests started
+ * @param answered complete and correct answers
+ * @param late complete and correct answers after the deadline
+ * @param notExecuted requests reported as not executed
+ * @param unknown requests reported as unknown
+ * @param wrong answers that belong to another request or are incomplete
  * @param noAnswer requests whose connection failed
- * @param goodput whole own answers in time, per second
- * @param weighted harm weight of answers in time as a share of the offered weight
- * @param tries requests sent, callers' own retries included
- * @param p50Millis median latency of answers from the intended start
- * @param p90Millis 90th percentile
- * @param p99Millis 99th percentile
- * @param p999Millis 99.9th percentile
- * @param maxMillis longest
- * @param byKind counts by kind
- * @param series counts by slice of time
+ * @param goodput complete and correct answers in time, per second
+ * @param weighted harm weight of the requests answered in time, as a share of the harm weight of
+ *     all requests
+ * @param tries attempts of callers, including retries
+ * @param p50Millis median latency of answers, measured from the intended start
+ * @param p90Millis 90th percentile of latency
+ * @param p99Millis 99th percentile of latency
+ * @param p999Millis 99.9th percentile of latency
+ * @param maxMillis maximum latency
+ * @param byKind results by kind of request
+ * @param series results by time slice
  * @param truth comparison with what the stand-ins executed
  */
 public record LoadResult(
@@ -47,33 +48,33 @@
     List<Slice> series,
     Truth truth) {
   /**
-   * Counts of one kind.
+   * The results of one kind of request.
    *
-   * @param offered requests begun
-   * @param inTime whole own answers in time
-   * @param p99Millis 99th percentile of their latency
+   * @param offered requests started
+   * @param inTime complete and correct answers in time
+   * @param p99Millis 99th percentile of the latency of these answers
    */
   public record KindResult(long offered, long inTime, double p99Millis) {}
 
   /**
-   * Counts of one slice of time.
+   * The results of one time slice.
    *
-   * @param atSeconds its start, by intended start of the requests
-   * @param offered requests begun
-   * @param inTime whole own answers in time
-   * @param p99Millis 99th percentile of their latency
+   * @param atSeconds start of the slice; requests are assigned to slices by their intended start
+   * @param offered requests started
+   * @param inTime complete and correct answers in time
+   * @param p99Millis 99th percentile of the latency of these answers
    */
   public record Slice(double atSeconds, long offered, long inTime, double p99Millis) {}
 
   /**
-   * What callers were told against what ran.
+   * Differences between the outcomes reported to callers and the executions of the stand-ins.
    *
-   * @param executedTwice operations executed more than once
-   * @param toldNotExecutedButRan operations whose caller was told the contrary
-   * @param toldExecutedButNot operations whose caller was told the contrary
+   * @param executedTwice number of operations executed more than once
+   * @param toldNotExecutedButRan number of executed operations that were reported as not executed
+   * @param toldExecutedButNot number of operations reported as executed that were not executed
    */
   public record Truth(long executedTwice, long toldNotExecutedButRan, long toldExecutedButNot) {
-    /** No comparison was asked for. */
+    /** No differences; also used if no comparison was requested. */
     public static final Truth NONE = new Truth(0, 0, 0);
   }
 }
--- a/bench/src/main/java/org/magnoliaswitch/bench/Recorder.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/Recorder.java
@@ -11,12 +11,12 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** Collects the verdicts and latencies of a run. */
+/** Collects the verdicts and latencies of a run of the load tool. */
 final class Recorder {
   private static final long MAX_MICROS = TimeUnit.MINUTES.toMicros(5);
-  private static final int DIGITS = 3;
+  private static final int SIGNIFICANT_DIGITS = 3;
 
-  /** Length of the slices of time of the report. */
+  /** Length of a time slice in the report. */
   static final double SLICE_SECONDS = 0.2;
 
   private static final double MICROS_PER_MILLI = 1_000.0;
@@ -27,7 +27,7 @@
     private final Histogram latency = new ConcurrentHistogram(MAX_MICROS, 2);
   }
 
-  private final Histogram latency = new ConcurrentHistogram(MAX_MICROS, DIGITS);
+  private final Histogram latency = new ConcurrentHistogram(MAX_MICROS, SIGNIFICANT_DIGITS);
   private final Map<Verdict, LongAdder> verdicts = new ConcurrentHashMap<>();
   private final Map<String, Bucket> kinds = new ConcurrentHashMap<>();
   private final Map<Integer, Bucket> slices = new ConcurrentSkipListMap<>();
@@ -35,16 +35,16 @@
   private final LongAdder late = new LongAdder();
   private final LongAdder tries = new LongAdder();
 
-  void offered(Scenario.LoadKind kind, int slice) {
+  void recordOffered(Scenario.LoadKind kind, int slice) {
     kind(kind).offered.increment();
     slice(slice).offered.increment();
   }
 
-  void tried() {
+  void recordAttempt() {
     tries.increment();
   }
 
-  void ended(
+  void recordOutcome(
       Scenario.LoadKind kind, int slice, String operation, Verdict verdict, long latencyNanos) {
     verdicts.computeIfAbsent(verdict, v -> new LongAdder()).increment();
     if (kind.keys() != Scenario.Keys.NONE) {
@@ -111,14 +111,14 @@
   }
 
   private double weighted(Scenario scenario) {
-    double served = 0;
-    double wanted = 0;
+    double servedWeight = 0;
+    double offeredWeight = 0;
     for (Scenario.LoadKind kind : scenario.kinds()) {
       Bucket bucket = kind(kind);
-      served += kind.weight() * bucket.inTime.sum();
-      wanted += kind.weight() * bucket.offered.sum();
+      servedWeight += kind.weight() * bucket.inTime.sum();
+      offeredWeight += kind.weight() * bucket.offered.sum();
     }
-    return wanted == 0 ? 0 : served / wanted;
+    return offeredWeight == 0 ? 0 : servedWeight / offeredWeight;
   }
 
   private double millis(double percentile) {
--- a/bench/src/main/java/org/magnoliaswitch/bench/Scenario.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/Scenario.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * A load to generate.
+ * The load that the load tool generates.
  *
  * @param phases arrival rates over time
  * @param kinds kinds of request and their shares
- * @param seed seed of arrivals and mix
+ * @param seed random seed for arrival times and request kinds
  */
 public record Scenario(List<Phase> phases, List<LoadKind> kinds, long seed) {
   public Scenario {
@@ -16,35 +16,35 @@
   }
 
   /**
-   * A span of time with a rate that changes evenly.
+   * A period during which the rate changes linearly.
    *
-   * @param seconds length
-   * @param fromRate requests a second at its start
-   * @param toRate requests a second at its end
+   * @param seconds length of the phase
+   * @param fromRate requests per second at the start
+   * @param toRate requests per second at the end
    */
   public record Phase(double seconds, double fromRate, double toRate) {}
 
-  /** How requests are given idempotency keys. */
+  /** The origin of idempotency keys. */
   public enum Keys {
     NONE,
-    /** Keys that an instance issued, asked for beforehand. */
+    /** Keys that an instance issues, requested in advance. */
     ISSUED,
-    /** Keys that the caller makes. */
+    /** Keys that the caller generates. */
     OWN
   }
 
   /**
    * A kind of request.
    *
-   * @param name for the report
+   * @param name name in the report
    * @param method HTTP method
    * @param path path and query
-   * @param share share of all requests
-   * @param keys how it gets keys
-   * @param deadlineMillis when the caller needs the answer
-   * @param size bytes of the answer, for the check that it is whole
-   * @param weight harm weight, for the weighted service
-   * @param tries attempts of the caller itself, first included
+   * @param share relative frequency among all requests
+   * @param keys origin of the idempotency keys
+   * @param deadlineMillis time after the intended start by which the caller needs the answer
+   * @param size size of a complete answer in bytes, for the check of answers
+   * @param weight harm weight of a request that is not answered in time
+   * @param tries attempts of the caller, including the first
    */
   public record LoadKind(
       String name,
@@ -57,7 +57,7 @@
       double weight,
       int tries) {}
 
-  /** The same scenario with its rates scaled. */
+  /** Returns this scenario with its rates and phase lengths multiplied by the given factors. */
   public Scenario scaled(double factor, double timeFactor) {
     return new Scenario(
         phases.stream()
--- a/bench/src/main/java/org/magnoliaswitch/bench/TruthCheck.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/TruthCheck.java
@@ -8,22 +8,22 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Compares what callers were told with what the stand-ins executed. */
+/** Compares the outcomes reported to callers with the executions of the stand-ins. */
 final class TruthCheck {
   private TruthCheck() {}
 
   static LoadResult.Truth check(Recorder recorder, URI standinControl) throws IOException {
     Map<String, Integer> executions = parse(fetch(standinControl.resolve("/executions")));
-    long twice = 0;
-    long ranButTold = 0;
-    long notRunButTold = 0;
-    for (Map.Entry<String, Verdict> told : recorder.byOperation().entrySet()) {
-      int count = executions.getOrDefault(told.getKey(), 0);
-      twice += count > 1 ? 1 : 0;
-      ranButTold += told.getValue() == Verdict.NOT_EXECUTED && count > 0 ? 1 : 0;
-      notRunButTold += told.getValue() == Verdict.EXECUTED && count == 0 ? 1 : 0;
+    long executedTwice = 0;
+    long toldNotExecutedButRan = 0;
+    long toldExecutedButNot = 0;
+    for (Map.Entry<String, Verdict> operation : recorder.byOperation().entrySet()) {
+      int count = executions.getOrDefault(operation.getKey(), 0);
+      executedTwice += count > 1 ? 1 : 0;
+      toldNotExecutedButRan += operation.getValue() == Verdict.NOT_EXECUTED && count > 0 ? 1 : 0;
+      toldExecutedButNot += operation.getValue() == Verdict.EXECUTED && count == 0 ? 1 : 0;
     }
-    return new LoadResult.Truth(twice, ranButTold, notRunButTold);
+    return new LoadResult.Truth(executedTwice, toldNotExecutedButRan, toldExecutedButNot);
   }
 
   private static Map<String, Integer> parse(String lines) {
--- a/bench/src/main/java/org/magnoliaswitch/bench/Verdict.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/Verdict.java
@@ -1,15 +1,18 @@
 package org.magnoliaswitch.bench;
 
-/** What a caller knows at the end of its tries. */
+/** The outcome of a request as known to its caller after all attempts. */
 enum Verdict {
-  /** A whole answer to its own request. */
+  /** The caller received a complete answer to its request, or was told that it was executed. */
   EXECUTED,
-  /** Told that it was not executed. */
+  /** The caller was told that the request was not executed. */
   NOT_EXECUTED,
-  /** Told that nobody knows. */
+  /** The caller was told that the outcome is unknown. */
   UNKNOWN,
-  /** An answer that was not its own, or cut short but passed for whole. */
+  /**
+   * The caller received an answer to another request, or a truncated answer that was declared
+   * complete.
+   */
   WRONG,
-  /** No answer: the connection failed. */
+  /** The caller received no answer because the connection failed. */
   NO_ANSWER
 }
--- a/bench/src/main/java/org/magnoliaswitch/bench/package-info.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/package-info.java
@@ -1,4 +1,4 @@
-/** The load tool and the programs that evaluate experiments. */
+/** The load tool, which generates open-loop load and checks the answers. */
 @NullMarked
 package org.magnoliaswitch.bench;
 
