--- a/bench/src/main/java/org/magnoliaswitch/bench/report/ConfigReport.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/report/ConfigReport.java
@@ -8,10 +8,13 @@
 import org.magnoliaswitch.core.process.TimelineEvent;
 import org.magnoliaswitch.core.version.Json;
 
-/** Accepted configuration: nothing lost, nothing reverted, in force in time. */
+/**
+ * Reports on the configuration experiment: whether accepted changes were lost or reverted, and the
+ * time until they were in force.
+ */
 final class ConfigReport {
-  private static final double TICK_SECONDS = 0.01;
-  private static final int ALL_VERSIONS = 1_000_000;
+  private static final double CPU_TICK_SECONDS = 0.01;
+  private static final int ABOVE_ALL_VERSIONS = 1_000_000;
 
   private ConfigReport() {}
 
@@ -21,23 +24,25 @@
       events.add(Json.MAPPER.readValue(line, TimelineEvent.class));
     }
     VersionCheck check = VersionCheck.of(events);
-    Map<String, Long> told = new HashMap<>();
+    Map<String, Long> acceptedVersions = new HashMap<>();
     long doublyAccepted = 0;
     for (String line : directory.lines("accepted.txt")) {
-      String[] words = line.split(" ", -1);
-      Long before = told.put(words[0], Long.valueOf(words[1]));
-      doublyAccepted += before != null && !before.equals(Long.valueOf(words[1])) ? 1 : 0;
+      String[] fields = line.split(" ", -1);
+      Long previous = acceptedVersions.put(fields[0], Long.valueOf(fields[1]));
+      doublyAccepted += previous != null && !previous.equals(Long.valueOf(fields[1])) ? 1 : 0;
     }
     Map<String, Long> history = history(directory);
-    long lowest = history.values().stream().mapToLong(Long::longValue).min().orElse(ALL_VERSIONS);
+    long firstVersion =
+        history.values().stream().mapToLong(Long::longValue).min().orElse(ABOVE_ALL_VERSIONS);
     long lost =
-        told.entrySet().stream()
-            .filter(e -> e.getValue() >= lowest && !e.getValue().equals(history.get(e.getKey())))
+        acceptedVersions.entrySet().stream()
+            .filter(
+                e -> e.getValue() >= firstVersion && !e.getValue().equals(history.get(e.getKey())))
             .count();
-    Rest rest = Rest.of(directory);
+    IdleCost idleCost = IdleCost.of(directory);
     System.out.printf(
         "changes told as accepted: %d, versions: %d, instances seen: %d%n",
-        told.size(), history.size(), check.incarnations());
+        acceptedVersions.size(), history.size(), check.incarnations());
     directory.summary(Map.of("inForceSeconds", check.inForceSeconds()));
     Plots.lines(
         directory.file("config.png"),
@@ -48,14 +53,14 @@
     System.out.printf(
         "config: accepted=%d lost=%d reverted=%d doubly_accepted=%d in_force_p99_s=%.2f in_force_max_s=%.2f "
             + "control_bytes_per_s=%.0f control_cpu_pct=%.2f%n",
-        told.size(),
+        acceptedVersions.size(),
         lost,
         check.reverted(),
         doublyAccepted,
         check.quantile(0.99),
         check.quantile(1),
-        rest.bytesPerSecond(),
-        rest.cpuPercent());
+        idleCost.bytesPerSecond(),
+        idleCost.cpuPercent());
     return lost == 0 && check.reverted() == 0 && doublyAccepted == 0;
   }
 
@@ -77,9 +82,9 @@
     return new Plots.Line(x, y);
   }
 
-  /** Cost of control while nothing happens. */
-  private record Rest(double bytesPerSecond, double cpuPercent) {
-    static Rest of(RunDirectory directory) throws IOException {
+  /** Cost of the control plane per instance while no changes are made. */
+  private record IdleCost(double bytesPerSecond, double cpuPercent) {
+    static IdleCost of(RunDirectory directory) throws IOException {
       double seconds = Double.parseDouble(directory.lines("rest-seconds.txt").getFirst());
       List<String> before = directory.lines("rest-before.txt");
       List<String> after = directory.lines("rest-after.txt");
@@ -92,8 +97,8 @@
         ticks += Double.parseDouble(second[2]) - Double.parseDouble(first[2]);
       }
       int instances = before.size();
-      return new Rest(
-          bytes / seconds / instances, 100 * ticks * TICK_SECONDS / seconds / instances);
+      return new IdleCost(
+          bytes / seconds / instances, 100 * ticks * CPU_TICK_SECONDS / seconds / instances);
     }
   }
 }
--- a/bench/src/main/java/org/magnoliaswitch/bench/report/DeclarationExtract.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/report/DeclarationExtract.java
@@ -8,7 +8,9 @@
 import org.magnoliaswitch.core.operator.VersionView;
 import org.magnoliaswitch.core.version.Json;
 
-/** Writes the declarations of {@code magnoliactl show --output json} back into files. */
+/**
+ * Extracts the declarations from the output of {@code magnoliactl show --output json} into files.
+ */
 final class DeclarationExtract {
   private DeclarationExtract() {}
 
--- a/bench/src/main/java/org/magnoliaswitch/bench/report/FaultsReport.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/report/FaultsReport.java
@@ -10,24 +10,27 @@
 import java.util.stream.Stream;
 import org.magnoliaswitch.bench.LoadResult;
 
-/** Each fault and pair of faults: goodput, latency, errors and times to notice and to come back. */
+/**
+ * Reports goodput, latency, errors and the duration of the disturbance for each fault and pair of
+ * faults.
+ */
 final class FaultsReport {
-  private static final double ONSET = 1.2;
-  private static final double END = 4.0;
-  private static final double GOOD = 0.995;
-  private static final double USUAL_FACTOR = 2.0;
-  private static final double MILLIS = 1_000;
-  private static final String PRODUCT = "fresh_load";
+  private static final double FAULT_START_SECONDS = 1.2;
+  private static final double FAULT_END_SECONDS = 4.0;
+  private static final double MIN_IN_TIME_SHARE = 0.995;
+  private static final double MAX_P99_RATIO = 2.0;
+  private static final double MILLIS_PER_SECOND = 1_000;
+  private static final String PRODUCT_POLICY = "fresh_load";
 
   /**
-   * One case.
+   * The results for one routing policy and one fault.
    *
    * @param policy routing policy
-   * @param fault fault or pair
-   * @param goodputRatio goodput against the same policy without a fault
-   * @param p99Millis latency over the run
-   * @param errorPercent requests without a whole answer in time
-   * @param noticeMillis from the first disturbed slice to the last one while the fault lasts
+   * @param fault fault or pair of faults
+   * @param goodputRatio goodput relative to the same policy without a fault
+   * @param p99Millis 99th percentile of latency over the run
+   * @param errorPercent percentage of requests without a complete answer in time
+   * @param noticeMillis time from the first to the last disturbed slice during the fault
    */
   record Row(
       String policy,
@@ -57,9 +60,9 @@
         (name, result) -> {
           String policy = name.substring(0, name.indexOf('-'));
           String fault = name.substring(name.indexOf('-') + 1);
-          LoadResult none = results.get(policy + "-none");
-          if (!fault.equals("none") && none != null) {
-            rows.add(row(policy, fault, result, none));
+          LoadResult withoutFault = results.get(policy + "-none");
+          if (!fault.equals("none") && withoutFault != null) {
+            rows.add(row(policy, fault, result, withoutFault));
           }
         });
     System.out.printf(
@@ -76,38 +79,41 @@
                 r.errorPercent(),
                 r.noticeMillis()));
     directory.summary(rows);
-    List<Row> own = rows.stream().filter(r -> r.policy().equals(PRODUCT)).toList();
+    List<Row> productRows = rows.stream().filter(r -> r.policy().equals(PRODUCT_POLICY)).toList();
     Plots.bars(
         directory.file("faults.png"),
         "p99 of the product's policy by fault",
         "ms",
-        own.stream().map(Row::fault).toList(),
-        Map.of("p99", own.stream().map(Row::p99Millis).toList()));
+        productRows.stream().map(Row::fault).toList(),
+        Map.of("p99", productRows.stream().map(Row::p99Millis).toList()));
     System.out.printf(
         "faults: cases=%d worst_goodput_ratio=%.3f median_notice_ms=%.0f%n",
         rows.size(),
-        own.stream().mapToDouble(Row::goodputRatio).min().orElse(Double.NaN),
-        Statistics.of(own, Row::noticeMillis).median());
+        productRows.stream().mapToDouble(Row::goodputRatio).min().orElse(Double.NaN),
+        Statistics.of(productRows, Row::noticeMillis).median());
   }
 
-  private static Row row(String policy, String fault, LoadResult result, LoadResult none) {
-    double usual = Statistics.of(none.series(), LoadResult.Slice::p99Millis).median();
+  private static Row row(String policy, String fault, LoadResult result, LoadResult withoutFault) {
+    double usualP99 = Statistics.of(withoutFault.series(), LoadResult.Slice::p99Millis).median();
     double first = Double.NaN;
     double last = Double.NaN;
     for (LoadResult.Slice slice : result.series()) {
       boolean disturbed =
-          slice.inTime() < GOOD * slice.offered() || slice.p99Millis() > USUAL_FACTOR * usual;
-      if (disturbed && slice.atSeconds() >= ONSET && slice.atSeconds() < END) {
+          slice.inTime() < MIN_IN_TIME_SHARE * slice.offered()
+              || slice.p99Millis() > MAX_P99_RATIO * usualP99;
+      if (disturbed
+          && slice.atSeconds() >= FAULT_START_SECONDS
+          && slice.atSeconds() < FAULT_END_SECONDS) {
         first = Double.isNaN(first) ? slice.atSeconds() : first;
         last = slice.atSeconds() + 0.2;
       }
     }
-    double notice = Double.isNaN(first) ? 0 : (last - first) * MILLIS;
+    double notice = Double.isNaN(first) ? 0 : (last - first) * MILLIS_PER_SECOND;
     long inTime = result.answered() - result.late();
     return new Row(
         policy,
         fault,
-        result.goodput() / none.goodput() * none.offered() / result.offered(),
+        result.goodput() / withoutFault.goodput() * withoutFault.offered() / result.offered(),
         result.p99Millis(),
         100.0 * (result.offered() - inTime) / result.offered(),
         notice);
--- a/bench/src/main/java/org/magnoliaswitch/bench/report/MeasuringReport.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/report/MeasuringReport.java
@@ -7,19 +7,23 @@
 import java.util.Map;
 import org.magnoliaswitch.bench.LoadResult;
 
-/** Probes against their budget in every window, and what the budget costs in latency. */
+/**
+ * Compares the probes in every time window with the probe budget, and reports the latency cost of
+ * the budget.
+ */
 final class MeasuringReport {
   private static final List<String> PHASES = List.of("steady", "surge", "doubled", "list-out");
-  private static final double SLOTS = 6;
+  private static final double SLOTS_PER_SERVER = 6;
 
   /**
-   * One phase.
+   * The results of one phase.
    *
-   * @param phase its name
-   * @param probes probes of all servers
-   * @param peakPerSecond most probes of one server in any window, per second
-   * @param windowsOver windows over the budget
-   * @param slotSharePercent time spent on probes as a share of all slot time
+   * @param phase name of the phase
+   * @param probes probes of all servers together
+   * @param peakPerSecond largest number of probes of one server in any window, per second
+   * @param windowsOver number of windows that exceed the budget
+   * @param slotSharePercent slot time spent on probes as a percentage of the slot time of all
+   *     servers
    */
   record Row(
       String phase, long probes, double peakPerSecond, long windowsOver, double slotSharePercent) {}
@@ -54,16 +58,16 @@
             rows.stream().map(Row::peakPerSecond).toList(),
             "budget",
             PHASES.stream().map(p -> perSecond).toList()));
-    long over = rows.stream().mapToLong(Row::windowsOver).sum();
+    long windowsOverBudget = rows.stream().mapToLong(Row::windowsOver).sum();
     System.out.printf(
         "measuring: budget_per_target_per_s=%.1f peak_per_target_per_s=%.2f windows_over_budget=%d "
             + "slot_share_pct=%.4f p99_vs_unlimited_probing=%.2f%n",
         perSecond,
         rows.stream().mapToDouble(Row::peakPerSecond).max().orElse(0),
-        over,
+        windowsOverBudget,
         rows.stream().mapToDouble(Row::slotSharePercent).max().orElse(0),
         ratio);
-    return over == 0;
+    return windowsOverBudget == 0;
   }
 
   private static Row row(RunDirectory directory, String phase, double perSecond, long windowMillis)
@@ -71,7 +75,7 @@
     JsonNode servers = directory.json("probes-" + phase + ".json");
     long allowed = (long) Math.floor(perSecond * windowMillis / 1_000 + 1e-9);
     long peak = 0;
-    long over = 0;
+    long windowsOverBudget = 0;
     long total = 0;
     for (JsonNode server : servers) {
       List<Long> times = new ArrayList<>();
@@ -84,15 +88,15 @@
           end++;
         }
         peak = Math.max(peak, end - start);
-        over += end - start > allowed ? 1 : 0;
+        windowsOverBudget += end - start > allowed ? 1 : 0;
       }
     }
     double seconds = directory.result(phase + ".json").seconds();
     double probing =
         directory.json("after-" + phase + ".json").get("probeSeconds").asDouble()
             - directory.json("before-" + phase + ".json").get("probeSeconds").asDouble();
-    double share = 100 * probing / (seconds * SLOTS * servers.size());
-    return new Row(phase, total, peak * 1_000.0 / windowMillis, over, share);
+    double share = 100 * probing / (seconds * SLOTS_PER_SERVER * servers.size());
+    return new Row(phase, total, peak * 1_000.0 / windowMillis, windowsOverBudget, share);
   }
 
   private static double p99(RunDirectory directory, String variant) throws IOException {
--- a/bench/src/main/java/org/magnoliaswitch/bench/report/OnceReport.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/report/OnceReport.java
@@ -6,7 +6,9 @@
 import java.util.Map;
 import org.magnoliaswitch.bench.LoadResult;
 
-/** At-most-once execution: what callers were told against what ran. */
+/**
+ * Reports on at-most-once execution: compares the outcomes reported to callers with the executions.
+ */
 final class OnceReport {
   private OnceReport() {}
 
@@ -16,11 +18,11 @@
         "%-12s %9s %9s %14s %14s %12s%n",
         "protection", "requests", "twice", "not exec, ran", "exec, not run", "unknown %");
     print("on", on);
-    boolean canFail = true;
+    boolean detectsDoubleExecution = true;
     if (directory.has("unprotected.json")) {
       LoadResult off = directory.result("unprotected.json");
       print("off", off);
-      canFail = off.truth().executedTwice() > 0;
+      detectsDoubleExecution = off.truth().executedTwice() > 0;
     }
     directory.summary(Map.of("protected", on));
     double writes = writes(directory) / on.offered();
@@ -35,11 +37,11 @@
         unknownPercent(on),
         100.0 * (on.answered() - on.late()) / on.offered(),
         writes);
-    if (!canFail) {
+    if (!detectsDoubleExecution) {
       System.out.println(
-          "once: the run without protection showed no double execution; the check proves nothing");
+          "once: the run without protection had no double execution, so the check is not conclusive");
     }
-    return canFail && on.truth().equals(LoadResult.Truth.NONE) && on.wrong() == 0;
+    return detectsDoubleExecution && on.truth().equals(LoadResult.Truth.NONE) && on.wrong() == 0;
   }
 
   private static void print(String protection, LoadResult result) {
--- a/bench/src/main/java/org/magnoliaswitch/bench/report/OverheadReport.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/report/OverheadReport.java
@@ -8,12 +8,12 @@
 import java.util.TreeSet;
 import org.magnoliaswitch.bench.LoadResult;
 
-/** Cost of passing through one entry. */
+/** Reports the latency and CPU time that one instance adds to requests. */
 final class OverheadReport {
-  private static final double SATURATED = 0.99;
-  private static final double MICROS_PER_TICK = 10_000;
+  private static final double MIN_GOODPUT_SHARE = 0.99;
+  private static final double MICROS_PER_CPU_TICK = 10_000;
 
-  /** One rate. */
+  /** The results at one request rate. */
   record Row(
       double rate, double addedP50, double addedP99, double cpuMicros, double goodputShare) {}
 
@@ -23,8 +23,8 @@
     List<RunDirectory.Run> runs = directory.runs();
     Map<String, Double> ticks = new LinkedHashMap<>();
     for (String line : directory.lines("cpu.txt")) {
-      String[] words = line.split(" ", -1);
-      ticks.put(words[0] + '-' + words[1], Double.valueOf(words[2]));
+      String[] fields = line.split(" ", -1);
+      ticks.put(fields[0] + '-' + fields[1], Double.valueOf(fields[2]));
     }
     List<Row> rows = new ArrayList<>();
     for (double rate : new TreeSet<>(runs.stream().map(RunDirectory.Run::level).toList())) {
@@ -43,11 +43,11 @@
   private static void finish(RunDirectory directory, List<Row> rows) throws IOException {
     double saturation =
         rows.stream()
-            .filter(r -> r.goodputShare() >= SATURATED)
+            .filter(r -> r.goodputShare() >= MIN_GOODPUT_SHARE)
             .mapToDouble(Row::rate)
             .max()
             .orElse(0);
-    Row half =
+    Row halfLoad =
         rows.stream()
             .min(
                 (a, b) ->
@@ -66,7 +66,11 @@
             "added p99", new Plots.Line(x, rows.stream().map(Row::addedP99).toList())));
     System.out.printf(
         "overhead: added_p50_ms=%.2f added_p99_ms=%.2f cpu_us_per_request=%.0f max_rps=%.0f (at %.0f/s)%n",
-        half.addedP50(), half.addedP99(), half.cpuMicros(), saturation, half.rate());
+        halfLoad.addedP50(),
+        halfLoad.addedP99(),
+        halfLoad.cpuMicros(),
+        saturation,
+        halfLoad.rate());
   }
 
   private static Row row(double rate, List<RunDirectory.Run> runs, Map<String, Double> ticks) {
@@ -91,8 +95,8 @@
       LoadResult result = through.result();
       p50.add(result.p50Millis() - direct.p50Millis());
       p99.add(result.p99Millis() - direct.p99Millis());
-      double used = ticks.getOrDefault((long) rate + "-" + through.repeat(), 0.0);
-      cpu.add(used * MICROS_PER_TICK / Math.max(1, result.offered()));
+      double usedTicks = ticks.getOrDefault((long) rate + "-" + through.repeat(), 0.0);
+      cpu.add(usedTicks * MICROS_PER_CPU_TICK / Math.max(1, result.offered()));
       share.add((double) (result.answered() - result.late()) / result.offered());
     }
     return new Row(rate, median(p50), median(p99), median(cpu), median(share));
--- a/bench/src/main/java/org/magnoliaswitch/bench/report/OverloadReport.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/report/OverloadReport.java
@@ -8,13 +8,13 @@
 import java.util.Map;
 import org.magnoliaswitch.bench.LoadResult;
 
-/** Goodput, weighted service, late answers, recovery and retries under overload. */
+/** Reports goodput, weighted service, late answers, recovery time and retries under overload. */
 final class OverloadReport {
-  private static final double HOLD_FROM = 3;
-  private static final double HOLD_TO = 8;
-  private static final double SERVED = 0.99;
+  private static final double OVERLOAD_START_SECONDS = 3;
+  private static final double OVERLOAD_END_SECONDS = 8;
+  private static final double RECOVERED_SHARE = 0.99;
 
-  /** One variant at one level. */
+  /** The results with or without weights at one multiple of the capacity. */
   record Row(
       boolean weighted,
       double level,
@@ -40,7 +40,7 @@
             new Row(
                 variant.equals("true"),
                 level,
-                Statistics.of(results, OverloadReport::holdGoodput),
+                Statistics.of(results, OverloadReport::goodputDuringOverload),
                 Statistics.of(results, LoadResult::weighted),
                 Statistics.of(results, OverloadReport::latePercent),
                 Statistics.of(results, OverloadReport::recovery)));
@@ -80,12 +80,12 @@
         "share",
         List.of("1x", "2x", "3x"),
         bars);
-    Row at2 = find(rows, true, 2);
+    Row doubleLoad = find(rows, true, 2);
     System.out.printf(
         "overload: goodput_at_2x_vs_capacity=%.3f weighted_service_vs_unweighted=%.2f late_answers_pct=%.3f "
             + "recovery_s=%.1f retry_amplification=%.2f%n",
-        at2.goodput().median() / capacity,
-        at2.weightedShare().median() / find(rows, false, 2).weightedShare().median(),
+        doubleLoad.goodput().median() / capacity,
+        doubleLoad.weightedShare().median() / find(rows, false, 2).weightedShare().median(),
         rows.stream()
             .filter(Row::weighted)
             .mapToDouble(r -> r.latePercent().median())
@@ -106,39 +106,45 @@
         .orElseThrow();
   }
 
-  private static double holdGoodput(LoadResult result) {
+  private static double goodputDuringOverload(LoadResult result) {
     long inTime =
         result.series().stream()
-            .filter(s -> s.atSeconds() >= HOLD_FROM && s.atSeconds() < HOLD_TO)
+            .filter(
+                s ->
+                    s.atSeconds() >= OVERLOAD_START_SECONDS && s.atSeconds() < OVERLOAD_END_SECONDS)
             .mapToLong(LoadResult.Slice::inTime)
             .sum();
-    return inTime / (HOLD_TO - HOLD_FROM);
+    return inTime / (OVERLOAD_END_SECONDS - OVERLOAD_START_SECONDS);
   }
 
   private static double latePercent(LoadResult result) {
     return 100.0 * result.late() / Math.max(1, result.answered());
   }
 
-  /** Time after the overload until requests are served again as they begin. */
+  /** Returns the time after the overload until nearly all requests are answered in time again. */
   private static double recovery(LoadResult result) {
     for (LoadResult.Slice slice : result.series()) {
-      if (slice.atSeconds() >= HOLD_TO && slice.inTime() >= SERVED * slice.offered()) {
-        return slice.atSeconds() - HOLD_TO;
+      if (slice.atSeconds() >= OVERLOAD_END_SECONDS
+          && slice.inTime() >= RECOVERED_SHARE * slice.offered()) {
+        return slice.atSeconds() - OVERLOAD_END_SECONDS;
       }
     }
     return Double.POSITIVE_INFINITY;
   }
 
-  /** Requests that reached backend servers for each one executed, while callers retry as well. */
+  /**
+   * Returns the requests received by backend servers per executed request, including retries of
+   * callers.
+   */
   private static double amplification(RunDirectory directory) throws IOException {
     List<Double> ratios = new ArrayList<>();
     for (int repeat = 1; directory.has("before-" + repeat + ".json"); repeat++) {
       JsonNode before = directory.json("before-" + repeat + ".json");
       JsonNode after = directory.json("after-" + repeat + ".json");
       double executed = sum(after, "executed") - sum(before, "executed");
-      double refused =
+      double rejected =
           sum(after, "shed") - sum(before, "shed") + sum(after, "expired") - sum(before, "expired");
-      ratios.add((executed + refused) / executed);
+      ratios.add((executed + rejected) / executed);
     }
     return Statistics.of(ratios, Double::doubleValue).median();
   }
--- a/bench/src/main/java/org/magnoliaswitch/bench/report/Plots.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/report/Plots.java
@@ -10,12 +10,12 @@
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
 
-/** Plots of reports. */
+/** Writes the plots of reports. */
 public final class Plots {
   private static final int WIDTH = 900;
   private static final int HEIGHT = 500;
 
-  /** Points of one line of a plot. */
+  /** The points of one line of a plot. */
   record Line(List<Double> x, List<Double> y) {}
 
   private Plots() {}
@@ -39,7 +39,7 @@
     BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
   }
 
-  /** Writes a bar chart: one group a category, one bar a series. */
+  /** Writes a bar chart with one group per category and one bar per series. */
   public static void bars(
       Path file, String title, String y, List<String> categories, Map<String, List<Double>> series)
       throws IOException {
--- a/bench/src/main/java/org/magnoliaswitch/bench/report/ReportMain.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/report/ReportMain.java
@@ -8,14 +8,14 @@
 import joptsimple.OptionSet;
 import joptsimple.OptionSpec;
 
-/** Command line of {@code magnolia-report}: evaluates an experiment's output directory. */
+/** Command line of {@code magnolia-report}: evaluates the output directory of an experiment. */
 public final class ReportMain {
   private static final int FAILED = 1;
-  private static final int USAGE = 2;
+  private static final int USAGE_ERROR = 2;
 
   private ReportMain() {}
 
-  /** Prints a report; exits with 0, 1 when a check failed or 2 for unusable arguments. */
+  /** Prints a report; exits with 0 on success, 1 if a check failed or 2 on invalid arguments. */
   public static void main(String[] arguments) {
     OptionParser parser = new OptionParser();
     OptionSpec<String> directory =
@@ -23,23 +23,25 @@
     OptionSpec<Void> help = parser.accepts("help", "print this text").forHelp();
     try {
       OptionSet options = parser.parse(arguments);
-      List<String> words = options.nonOptionArguments().stream().map(String::valueOf).toList();
+      List<String> experiments =
+          options.nonOptionArguments().stream().map(String::valueOf).toList();
       if (options.has(help)) {
         System.out.println("magnolia-report EXPERIMENT --dir DIR\n");
         parser.printHelpOn(System.out);
-      } else if (words.size() != 1 || !options.has(directory)) {
-        fail(USAGE, "an experiment and --dir are needed; see --help");
-      } else if (!report(words.getFirst(), new RunDirectory(Path.of(options.valueOf(directory))))) {
+      } else if (experiments.size() != 1 || !options.has(directory)) {
+        fail(USAGE_ERROR, "one experiment and --dir are required; see --help");
+      } else if (!report(
+          experiments.getFirst(), new RunDirectory(Path.of(options.valueOf(directory))))) {
         System.exit(FAILED);
       }
     } catch (OptionException e) {
-      fail(USAGE, e.getMessage() + "; see --help");
+      fail(USAGE_ERROR, e.getMessage() + "; see --help");
     } catch (IOException e) {
       fail(FAILED, e.toString());
     }
   }
 
-  /** Prints one report; false when a check of it failed. */
+  /** Prints the report of an experiment; returns false if one of its checks failed. */
   private static boolean report(String experiment, RunDirectory directory) throws IOException {
     switch (experiment) {
       case "overhead" -> OverheadReport.run(directory);
@@ -59,7 +61,7 @@
         return DrainReport.run(directory);
       }
       case "extract" -> DeclarationExtract.run(directory);
-      default -> fail(USAGE, "no report for " + experiment);
+      default -> fail(USAGE_ERROR, "unknown experiment " + experiment);
     }
     return true;
   }
--- a/bench/src/main/java/org/magnoliaswitch/bench/report/RoutingReport.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/report/RoutingReport.java
@@ -9,12 +9,12 @@
 import java.util.function.ToDoubleFunction;
 import org.magnoliaswitch.bench.LoadResult;
 
-/** Routing policies side by side. */
+/** Compares routing policies. */
 final class RoutingReport {
   private static final List<String> POLICIES =
       List.of("round_robin", "least_requests", "fresh_load");
 
-  /** One policy at one load. */
+  /** The results of one policy at one load. */
   record Row(
       String policy,
       double load,
@@ -68,9 +68,9 @@
     Plots.bars(directory.file("routing.png"), "p99 by policy", "ms", loads, bars);
     System.out.printf(
         "routing: p99_vs_round_robin=%.2f p99_vs_least_requests=%.2f p999_vs_least_requests=%.2f errors=%.3f%%%n",
-        worst(rows, "round_robin", r -> r.p99().median()),
-        worst(rows, "least_requests", r -> r.p99().median()),
-        worst(rows, "least_requests", r -> r.p999().median()),
+        worstRatio(rows, "round_robin", r -> r.p99().median()),
+        worstRatio(rows, "least_requests", r -> r.p99().median()),
+        worstRatio(rows, "least_requests", r -> r.p999().median()),
         rows.stream()
             .filter(r -> r.policy().equals("fresh_load"))
             .mapToDouble(r -> r.errors().median())
@@ -78,20 +78,22 @@
             .orElse(Double.NaN));
   }
 
-  /** The ratio at the load where the product compares worst. */
-  private static double worst(List<Row> rows, String baseline, ToDoubleFunction<Row> measure) {
-    double worst = 0;
-    for (Row own : rows) {
-      if (own.policy().equals("fresh_load")) {
-        Row other =
+  /** Returns the largest ratio of the product to a baseline over all loads. */
+  private static double worstRatio(List<Row> rows, String baseline, ToDoubleFunction<Row> measure) {
+    double worstRatio = 0;
+    for (Row product : rows) {
+      if (product.policy().equals("fresh_load")) {
+        Row baselineRow =
             rows.stream()
-                .filter(r -> r.policy().equals(baseline) && r.load() == own.load())
+                .filter(r -> r.policy().equals(baseline) && r.load() == product.load())
                 .findFirst()
                 .orElseThrow();
-        worst = Math.max(worst, measure.applyAsDouble(own) / measure.applyAsDouble(other));
+        worstRatio =
+            Math.max(
+                worstRatio, measure.applyAsDouble(product) / measure.applyAsDouble(baselineRow));
       }
     }
-    return worst;
+    return worstRatio;
   }
 
   private static double errorPercent(LoadResult result) {
--- a/bench/src/main/java/org/magnoliaswitch/bench/report/RunDirectory.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/report/RunDirectory.java
@@ -12,9 +12,9 @@
 import org.magnoliaswitch.bench.LoadResult;
 import org.magnoliaswitch.core.version.Json;
 
-/** The files that an experiment left in its output directory. */
+/** The output directory of an experiment. */
 final class RunDirectory {
-  private static final Pattern NAME =
+  private static final Pattern RUN_FILE_NAME =
       Pattern.compile("(.+)-([0-9]+(?:\\.[0-9]+)?)-([0-9]+)\\.json");
 
   private final Path directory;
@@ -26,19 +26,19 @@
   /**
    * One run of the load tool.
    *
-   * @param variant what was compared, such as a policy
-   * @param level rate, share of capacity or multiple of it
+   * @param variant compared variant, such as a policy
+   * @param level request rate, or share or multiple of the capacity
    * @param repeat number of the repetition
-   * @param result what the tool found
+   * @param result result of the load tool
    */
   record Run(String variant, double level, int repeat, LoadResult result) {}
 
-  /** All runs whose names have the form variant-level-repeat. */
+  /** Returns all runs whose file names have the form {@code variant-level-repeat.json}. */
   List<Run> runs() throws IOException {
     List<Run> runs = new ArrayList<>();
     try (Stream<Path> files = Files.list(directory)) {
       for (Path file : files.sorted().toList()) {
-        Matcher matcher = NAME.matcher(file.getFileName().toString());
+        Matcher matcher = RUN_FILE_NAME.matcher(file.getFileName().toString());
         if (matcher.matches() && !file.toString().endsWith(".scenario.json")) {
           runs.add(
               new Run(
@@ -69,7 +69,7 @@
     return Json.MAPPER.readValue(directory.resolve(name).toFile(), LoadResult.class);
   }
 
-  /** Writes the summary of the experiment. */
+  /** Writes the summary of the experiment as JSON. */
   void summary(Object value) throws IOException {
     Files.write(
         directory.resolve("summary.json"),
--- a/bench/src/main/java/org/magnoliaswitch/bench/report/Statistics.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/report/Statistics.java
@@ -5,11 +5,11 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Median and spread of repeated measurements.
+ * Median and range of repeated measurements.
  *
- * @param median middle value
- * @param least smallest
- * @param most largest
+ * @param median median
+ * @param least smallest value
+ * @param most largest value
  */
 record Statistics(double median, double least, double most) {
   static Statistics of(double... values) {
@@ -28,17 +28,17 @@
     return of(values.stream().mapToDouble(measure).toArray());
   }
 
-  /** Least-squares slope of y over x. */
+  /** Returns the least-squares slope of y over x. */
   static double slope(double[] x, double[] y) {
     double meanX = Arrays.stream(x).average().orElse(0);
     double meanY = Arrays.stream(y).average().orElse(0);
-    double above = 0;
-    double below = 0;
+    double numerator = 0;
+    double denominator = 0;
     for (int i = 0; i < x.length; i++) {
-      above += (x[i] - meanX) * (y[i] - meanY);
-      below += (x[i] - meanX) * (x[i] - meanX);
+      numerator += (x[i] - meanX) * (y[i] - meanY);
+      denominator += (x[i] - meanX) * (x[i] - meanX);
     }
-    return below == 0 ? 0 : above / below;
+    return denominator == 0 ? 0 : numerator / denominator;
   }
 
   @Override
--- a/bench/src/main/java/org/magnoliaswitch/bench/report/VersionCheck.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/report/VersionCheck.java
@@ -11,16 +11,18 @@
 import org.magnoliaswitch.core.process.TimelineEvent;
 
 /**
- * What time lines tell of versions.
+ * The configuration versions that the time lines of instances record.
  *
- * @param inForceSeconds from acceptance to in force, per version and instance that put it in force
- * @param reverted times an instance put a lower version in force than before
- * @param incarnations instances seen, restarts counted
+ * @param inForceSeconds time from acceptance until the version was in force, for each version and
+ *     instance
+ * @param reverted number of times that an instance put a version in force that was not higher than
+ *     its previous one
+ * @param incarnations number of incarnations of instances; a restart counts as a new one
  */
 public record VersionCheck(List<Double> inForceSeconds, long reverted, int incarnations) {
   private static final double MILLIS_PER_SECOND = 1_000.0;
 
-  /** Checks the events of all instances, in any order and with repetitions. */
+  /** Checks the events of all instances, which may be unordered and contain duplicates. */
   public static VersionCheck of(List<TimelineEvent> events) {
     List<TimelineEvent> ordered = new ArrayList<>(new HashSet<>(events));
     ordered.sort((a, b) -> a.time().compareTo(b.time()));
@@ -30,39 +32,43 @@
         acceptedMillis.putIfAbsent(version(event), event.time().millis());
       }
     }
-    Map<String, Long> inForce = new HashMap<>();
-    Set<String> started = new HashSet<>();
+    Map<String, Long> versionInForce = new HashMap<>();
+    Set<String> incarnations = new HashSet<>();
     Map<String, Long> startedMillis = new HashMap<>();
     List<Double> seconds = new ArrayList<>();
     long reverted = 0;
     for (TimelineEvent event : ordered) {
       if (event.kind() == EventKind.STARTED) {
-        started.add(event.detail());
+        incarnations.add(event.detail());
         startedMillis.put(event.instance(), event.time().millis());
-        inForce.put(event.instance(), 0L);
+        versionInForce.put(event.instance(), 0L);
       } else if (event.kind() == EventKind.VERSION_IN_FORCE) {
-        long before = inForce.getOrDefault(event.instance(), 0L);
-        long now = version(event);
-        reverted += now <= before ? 1 : 0;
-        inForce.put(event.instance(), now);
-        delays(event, before, now, acceptedMillis, startedMillis, seconds);
+        long previous = versionInForce.getOrDefault(event.instance(), 0L);
+        long current = version(event);
+        reverted += current <= previous ? 1 : 0;
+        versionInForce.put(event.instance(), current);
+        addDelays(event, previous, current, acceptedMillis, startedMillis, seconds);
       }
     }
-    return new VersionCheck(seconds, reverted, started.size());
+    return new VersionCheck(seconds, reverted, incarnations.size());
   }
 
-  /** A version that an instance skipped is in force with the next one. */
-  private static void delays(
+  /**
+   * Adds the delays of all versions that an event puts in force. A version that an instance skipped
+   * is in force with the next higher one.
+   */
+  private static void addDelays(
       TimelineEvent event,
-      long before,
-      long now,
+      long previous,
+      long current,
       Map<Long, Long> acceptedMillis,
       Map<String, Long> startedMillis,
       List<Double> seconds) {
-    for (long version = before + 1; version <= now; version++) {
+    for (long version = previous + 1; version <= current; version++) {
       Long accepted = acceptedMillis.get(version);
       Long started = startedMillis.get(event.instance());
-      // What was accepted before this instance lived could not be in force there any earlier.
+      // Versions accepted before the instance started are excluded, since they could not be in
+      // force there earlier.
       if (accepted != null && (started == null || accepted >= started)) {
         seconds.add((event.time().millis() - accepted) / MILLIS_PER_SECOND);
       }
@@ -73,7 +79,7 @@
     return Long.parseLong(event.detail().replaceFirst(".*version=([0-9]+).*", "$1"));
   }
 
-  /** A quantile of the times to be in force. */
+  /** Returns a quantile of the times until a version was in force. */
   public double quantile(double quantile) {
     List<Double> sorted = inForceSeconds.stream().sorted().toList();
     if (sorted.isEmpty()) {
--- a/bench/src/main/java/org/magnoliaswitch/bench/report/package-info.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/report/package-info.java
@@ -1,4 +1,4 @@
-/** Evaluation of experiments: tables, JSON, plots and the closing line of each. */
+/** Evaluates experiments: writes a table, a JSON summary, plots and a summary line for each. */
 @NullMarked
 package org.magnoliaswitch.bench.report;
 
--- a/bench/src/test/java/org/magnoliaswitch/bench/report/VersionCheckTest.java
+++ b/bench/src/test/java/org/magnoliaswitch/bench/report/VersionCheckTest.java
@@ -9,37 +9,40 @@
 import org.magnoliaswitch.core.process.TimelineEvent;
 import org.testng.annotations.Test;
 
-/** The check of the configuration experiment must be able to fail. */
+/**
+ * Verifies that the check of the configuration experiment detects versions that are reverted, and
+ * does not report restarts or skipped versions as errors.
+ */
 public final class VersionCheckTest {
   private final List<TimelineEvent> events = new ArrayList<>();
 
   @Test
-  public void findsAnInstanceThatReverts() {
+  public void detectsAnInstanceThatRevertsToALowerVersion() {
     events.clear();
-    event(1, "a", EventKind.VERSION_IN_FORCE, "version=2 change=x");
-    event(2, "a", EventKind.VERSION_IN_FORCE, "version=1 change=y");
+    addEvent(1, "a", EventKind.VERSION_IN_FORCE, "version=2 change=x");
+    addEvent(2, "a", EventKind.VERSION_IN_FORCE, "version=1 change=y");
     assertEquals(VersionCheck.of(events).reverted(), 1);
   }
 
   @Test
-  public void aRestartedInstanceBeginsAnew() {
+  public void allowsTheSameVersionAfterARestart() {
     events.clear();
-    event(1, "a", EventKind.VERSION_IN_FORCE, "version=2 change=x");
-    event(2, "a", EventKind.STARTED, "incarnation=b");
-    event(3, "a", EventKind.VERSION_IN_FORCE, "version=2 change=x");
+    addEvent(1, "a", EventKind.VERSION_IN_FORCE, "version=2 change=x");
+    addEvent(2, "a", EventKind.STARTED, "incarnation=b");
+    addEvent(3, "a", EventKind.VERSION_IN_FORCE, "version=2 change=x");
     assertEquals(VersionCheck.of(events).reverted(), 0);
   }
 
   @Test
-  public void countsASkippedVersionFromItsOwnAcceptance() {
+  public void measuresASkippedVersionFromItsOwnAcceptance() {
     events.clear();
-    event(1_000, "a", EventKind.VERSION_ACCEPTED, "version=1");
-    event(2_000, "a", EventKind.VERSION_ACCEPTED, "version=2");
-    event(5_000, "b", EventKind.VERSION_IN_FORCE, "version=2 change=x");
+    addEvent(1_000, "a", EventKind.VERSION_ACCEPTED, "version=1");
+    addEvent(2_000, "a", EventKind.VERSION_ACCEPTED, "version=2");
+    addEvent(5_000, "b", EventKind.VERSION_IN_FORCE, "version=2 change=x");
     assertEquals(VersionCheck.of(events).inForceSeconds(), List.of(4.0, 3.0));
   }
 
-  private void event(long millis, String instance, EventKind kind, String detail) {
+  private void addEvent(long millis, String instance, EventKind kind, String detail) {
     events.add(
         new TimelineEvent(new HybridTimestamp(millis, 0), instance, kind, "", "", "", detail));
   }
