--- a/bench/src/main/java/org/magnoliaswitch/bench/scale/Fleet.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/scale/Fleet.java
@@ -24,13 +24,16 @@
 import org.magnoliaswitch.core.process.Platform;
 import org.magnoliaswitch.standins.StandinTable;
 
-/** Many instances' control in one process, over real sockets on the loopback address. */
+/**
+ * Runs the control planes of many instances in one process, connected by sockets on the loopback
+ * address.
+ */
 final class Fleet implements AutoCloseable {
   private static final int SEEDS = 5;
   private static final int DATA_CENTRES = 12;
 
-  /** Objects in memory; reads are counted. */
-  private static final class MemoryObjects implements ObjectStore {
+  /** An object store in memory. */
+  private static final class InMemoryObjectStore implements ObjectStore {
     private final Map<String, byte[]> objects = new ConcurrentHashMap<>();
 
     @Override
@@ -48,8 +51,9 @@
   private final Clocks clocks = Clocks.system();
 
   Fleet(int size) throws IOException {
-    InstanceList none = List::of;
-    Platform platform = new Platform(new StandinTable(clocks), new MemoryObjects(), none);
+    InstanceList emptyList = List::of;
+    Platform platform =
+        new Platform(new StandinTable(clocks), new InMemoryObjectStore(), emptyList);
     List<Integer> ports = freePorts(size);
     List<Address> seeds =
         ports.subList(0, Math.min(SEEDS, size)).stream()
@@ -82,17 +86,19 @@
     return instances.stream().mapToLong(i -> i.traffic().messages().get()).sum();
   }
 
-  /** Whether each instance knows nearly all others. */
+  /** Whether each instance knows at least 95 % of the instances. */
   boolean converged() {
     return instances.stream()
         .allMatch(i -> i.state().membership().size() >= 0.95 * instances.size());
   }
 
-  /** Accepts a change at one instance and returns the version. */
-  long change(int at, long base, Map<String, String> parts) throws IOException {
+  /** Submits a change at one instance and returns the accepted version. */
+  long submitChange(int instance, long baseVersion, Map<String, String> parts) throws IOException {
     ChangeReply reply =
-        new ChangeService(instances.get(at))
-            .submit(new ChangeRequest(base, "c" + base, "scale", "", new HashMap<>(parts)));
+        new ChangeService(instances.get(instance))
+            .submit(
+                new ChangeRequest(
+                    baseVersion, "c" + baseVersion, "scale", "", new HashMap<>(parts)));
     if (reply.status() != ChangeReply.Status.ACCEPTED) {
       throw new IOException(reply.toString());
     }
--- a/bench/src/main/java/org/magnoliaswitch/bench/scale/LargeDeclarations.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/scale/LargeDeclarations.java
@@ -18,7 +18,7 @@
 import org.magnoliaswitch.core.version.ServerState;
 import org.magnoliaswitch.core.version.Service;
 
-/** Declarations of any number of services and backend servers. */
+/** Generates declarations of a given number of services and backend servers. */
 final class LargeDeclarations {
   private static final int PORTS = 60_000;
 
@@ -29,13 +29,13 @@
     Map<String, String> parts = new TreeMap<>();
     parts.put("profiles/standard.json", Json.MAPPER.writeValueAsString(profile()));
     for (int s = 0; s < services; s++) {
-      List<BackendServer> own = new ArrayList<>();
+      List<BackendServer> serviceServers = new ArrayList<>();
       for (int i = s; i < servers; i += services) {
         ServerState state =
             s == change % services && i >= services && i % 7 == change % 7
                 ? ServerState.DRAINING
                 : ServerState.ACTIVE;
-        own.add(
+        serviceServers.add(
             new BackendServer(
                 "s" + s + "-" + i,
                 "dc-" + i % 12,
@@ -48,7 +48,8 @@
       String name = "service-" + s;
       parts.put(
           "services/" + name + ".json",
-          Json.MAPPER.writeValueAsString(new Service(name, "/" + name, "standard", 0.3, own)));
+          Json.MAPPER.writeValueAsString(
+              new Service(name, "/" + name, "standard", 0.3, serviceServers)));
     }
     return parts;
   }
--- a/bench/src/main/java/org/magnoliaswitch/bench/scale/ScaleMain.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/scale/ScaleMain.java
@@ -20,17 +20,23 @@
 import org.magnoliaswitch.core.process.ControlPlane;
 import org.magnoliaswitch.core.version.Json;
 
-/** Command line of {@code magnolia-scale}: cost of control against the number of instances. */
+/**
+ * Command line of {@code magnolia-scale}: measures the cost of the control plane for several
+ * numbers of instances.
+ */
 public final class ScaleMain {
-  private static final int USAGE = 2;
+  private static final int USAGE_ERROR = 2;
   private static final int CHANGES = 8;
-  private static final long CHANGE_EVERY_NANOS = TimeUnit.SECONDS.toNanos(3);
-  private static final long POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
+  private static final long CHANGE_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(3);
+  private static final long POLL_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
   private static final int SERVICES = 65;
   private static final int SERVERS = 1_600;
   private static final double MEGABYTE = 1024 * 1024;
 
-  /** Measurements at one number of instances; per instance where not said otherwise. */
+  /**
+   * The measurements for one number of instances; bytes, messages, CPU time and heap are per
+   * instance.
+   */
   record Row(
       int instances,
       double restBytesPerSecond,
@@ -42,23 +48,23 @@
       double spreadP99Seconds) {}
 
   private final Clocks clocks = Clocks.system();
-  private final OperatingSystemMXBean system =
+  private final OperatingSystemMXBean operatingSystem =
       (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
 
   private ScaleMain() {}
 
-  /** Measures control at several sizes and prints slopes. */
+  /** Measures the control plane at several numbers of instances and prints the slopes. */
   public static void main(String[] arguments) throws IOException {
     OptionParser parser = new OptionParser();
     OptionSpec<String> directory = parser.accepts("dir", "output directory").withRequiredArg();
     OptionSpec<String> sizes =
         parser
-            .accepts("sizes", "numbers of instances, by comma")
+            .accepts("sizes", "numbers of instances, separated by commas")
             .withRequiredArg()
             .defaultsTo("18,50,100,200");
     OptionSpec<Integer> seconds =
         parser
-            .accepts("seconds", "measured time at rest")
+            .accepts("seconds", "length of the measurement without changes, in seconds")
             .withRequiredArg()
             .ofType(Integer.class)
             .defaultsTo(20);
@@ -67,16 +73,17 @@
       OptionSet options = parser.parse(arguments);
       if (options.has(help) || !options.has(directory)) {
         parser.printHelpOn(System.out);
-        System.exit(options.has(help) ? 0 : USAGE);
+        System.exit(options.has(help) ? 0 : USAGE_ERROR);
       }
-      int[] wanted =
+      int[] instanceCounts =
           Arrays.stream(options.valueOf(sizes).split(",", -1))
               .mapToInt(Integer::parseInt)
               .toArray();
-      new ScaleMain().run(Path.of(options.valueOf(directory)), wanted, options.valueOf(seconds));
+      new ScaleMain()
+          .run(Path.of(options.valueOf(directory)), instanceCounts, options.valueOf(seconds));
     } catch (OptionException e) {
       System.err.println("magnolia-scale: " + e.getMessage() + "; see --help");
-      System.exit(USAGE);
+      System.exit(USAGE_ERROR);
     }
   }
 
@@ -114,14 +121,14 @@
             .writeValueAsBytes(Map.of("rows", rows, "heapOf1600", heap)));
     Row last = rows.getLast();
     Row first = rows.getFirst();
-    double span = Math.max(1, last.instances() - first.instances());
+    double addedInstances = Math.max(1, last.instances() - first.instances());
     System.out.printf(
         "slopes per instance: rest_bytes_per_s=%.3f changing_bytes_per_s=%.3f cpu_pct=%.5f heap_mb=%.4f spread_p99_s=%.5f%n",
-        (last.restBytesPerSecond() - first.restBytesPerSecond()) / span,
-        (last.busyBytesPerSecond() - first.busyBytesPerSecond()) / span,
-        (last.cpuPercent() - first.cpuPercent()) / span,
-        (last.heapMegabytes() - first.heapMegabytes()) / span,
-        (last.spreadP99Seconds() - first.spreadP99Seconds()) / span);
+        (last.restBytesPerSecond() - first.restBytesPerSecond()) / addedInstances,
+        (last.busyBytesPerSecond() - first.busyBytesPerSecond()) / addedInstances,
+        (last.cpuPercent() - first.cpuPercent()) / addedInstances,
+        (last.heapMegabytes() - first.heapMegabytes()) / addedInstances,
+        (last.spreadP99Seconds() - first.spreadP99Seconds()) / addedInstances);
     System.out.printf(
         "scale: bytes_per_s_at_%d=%.0f spread_p99_s_at_%d=%.2f heap_mb_for_1600_targets=%.1f cpu_pct=%.3f%n",
         last.instances(),
@@ -138,78 +145,81 @@
       while (!fleet.converged()) {
         LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(200));
       }
-      long version = fleet.change(0, 0, LargeDeclarations.of(SERVICES, SERVERS, 0));
+      long version = fleet.submitChange(0, 0, LargeDeclarations.of(SERVICES, SERVERS, 0));
       awaitVersion(fleet, version, new ArrayList<>());
       pause(TimeUnit.SECONDS.toNanos(3));
       long bytes = fleet.bytes();
       long messages = fleet.messages();
-      long cpu = system.getProcessCpuTime();
+      long cpu = operatingSystem.getProcessCpuTime();
       long start = clocks.nanos();
       pause(TimeUnit.SECONDS.toNanos(seconds));
       double elapsed = (clocks.nanos() - start) / 1e9;
-      double restBytes = (fleet.bytes() - bytes) / elapsed / size;
-      double restMessages = (fleet.messages() - messages) / elapsed / size;
-      double cpuPercent = 100 * (system.getProcessCpuTime() - cpu) / 1e9 / elapsed / size;
-      List<Double> spread = new ArrayList<>();
-      double changing = changeOften(fleet, version, spread);
-      Collections.sort(spread);
+      double idleBytes = (fleet.bytes() - bytes) / elapsed / size;
+      double idleMessages = (fleet.messages() - messages) / elapsed / size;
+      double cpuPercent = 100 * (operatingSystem.getProcessCpuTime() - cpu) / 1e9 / elapsed / size;
+      List<Double> delays = new ArrayList<>();
+      double bytesDuringChanges = measureChanges(fleet, version, delays);
+      Collections.sort(delays);
       return new Row(
           size,
-          restBytes,
-          restMessages,
-          // 3,700 changes a day are one in 23 s; here one came every 3 s.
-          restBytes + (changing - restBytes) * CHANGE_EVERY_NANOS / 1e9 / (86_400.0 / 3_700),
+          idleBytes,
+          idleMessages,
+          // Scaled from one change every 3 s, as submitted here, to 3,700 changes a day, which is
+          // one every 23 s.
+          idleBytes
+              + (bytesDuringChanges - idleBytes) * CHANGE_INTERVAL_NANOS / 1e9 / (86_400.0 / 3_700),
           cpuPercent,
           heapUsed() / size,
-          spread.get(spread.size() / 2),
-          spread.get((int) (spread.size() * 0.99)));
+          delays.get(delays.size() / 2),
+          delays.get((int) (delays.size() * 0.99)));
     }
   }
 
-  /** Makes changes one after another; returns bytes per second and instance. */
-  private double changeOften(Fleet fleet, long from, List<Double> spread) throws IOException {
+  /** Submits changes one after another; returns the bytes per second and instance. */
+  private double measureChanges(Fleet fleet, long from, List<Double> delays) throws IOException {
     long version = from;
     long bytes = fleet.bytes();
     long start = clocks.nanos();
     for (int i = 1; i <= CHANGES; i++) {
-      long began = clocks.nanos();
+      long submitted = clocks.nanos();
       version =
-          fleet.change(
+          fleet.submitChange(
               i * 7 % fleet.instances().size(),
               version,
               LargeDeclarations.of(SERVICES, SERVERS, i));
-      awaitVersion(fleet, version, spread);
-      pause(CHANGE_EVERY_NANOS - (clocks.nanos() - began));
+      awaitVersion(fleet, version, delays);
+      pause(CHANGE_INTERVAL_NANOS - (clocks.nanos() - submitted));
     }
     double elapsed = (clocks.nanos() - start) / 1e9;
     return (fleet.bytes() - bytes) / elapsed / fleet.instances().size();
   }
 
-  private void awaitVersion(Fleet fleet, long version, List<Double> spread) {
+  private void awaitVersion(Fleet fleet, long version, List<Double> delays) {
     long start = clocks.nanos();
-    List<ControlPlane> behind = new ArrayList<>(fleet.instances());
-    while (!behind.isEmpty()) {
+    List<ControlPlane> pending = new ArrayList<>(fleet.instances());
+    while (!pending.isEmpty()) {
       double elapsed = (clocks.nanos() - start) / 1e9;
-      behind.removeIf(
+      pending.removeIf(
           instance -> {
-            boolean there = instance.state().version().get().version() >= version;
-            if (there) {
-              spread.add(elapsed);
+            boolean reached = instance.state().version().get().version() >= version;
+            if (reached) {
+              delays.add(elapsed);
             }
-            return there;
+            return reached;
           });
-      LockSupport.parkNanos(POLL_NANOS);
+      LockSupport.parkNanos(POLL_INTERVAL_NANOS);
     }
   }
 
   private double heapOfLargeDeclarations() throws IOException {
     double before = heapUsed();
     try (Fleet fleet = new Fleet(1)) {
-      double empty = heapUsed();
-      long unused = fleet.change(0, 0, LargeDeclarations.of(SERVICES, SERVERS, 0));
+      double emptyFleet = heapUsed();
+      long unused = fleet.submitChange(0, 0, LargeDeclarations.of(SERVICES, SERVERS, 0));
       double loaded = heapUsed();
-      System.out.printf("heap: before=%.1f empty=%.1f loaded=%.1f MB%n", before, empty, loaded);
-      return loaded - empty;
+      System.out.printf(
+          "heap: before=%.1f empty=%.1f loaded=%.1f MB%n", before, emptyFleet, loaded);
+      return loaded - emptyFleet;
     }
   }
 
--- a/bench/src/main/java/org/magnoliaswitch/bench/scale/package-info.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/scale/package-info.java
@@ -1,4 +1,7 @@
-/** Control at many instances: real code and sockets, all in one process. */
+/**
+ * Measures the cost of the control plane with many instances in one process, using the production
+ * code and real sockets.
+ */
 @NullMarked
 package org.magnoliaswitch.bench.scale;
 
