--- a/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Attempt.java
@@ -26,7 +26,10 @@
   /** Idle time after which a connection is no longer used for non-idempotent requests. */
   private static final long MAX_IDLE_NON_IDEMPOTENT_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-  /** Idle time after which a connection is not reused at all, unless its server states a limit. */
+  /**
+   * Idle time after which a connection is not reused at all; the server's keep-alive timeout may be
+   * shorter.
+   */
   private static final long MAX_IDLE_NANOS = TimeUnit.SECONDS.toNanos(20);
 
   /**
@@ -232,7 +235,7 @@
     }
     end();
     switch (reply) {
-      case ServerReply.Complete whole -> handleResponse(whole);
+      case ServerReply.Complete complete -> handleResponse(complete);
       case ServerReply.Broken broken -> {
         environment.servers().recordFailure(pool.state(), "broken");
         exchange.crashDetector().connectionBroken(pool, trial);
--- a/front/src/main/java/org/magnoliaswitch/front/request/CallerResponses.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/CallerResponses.java
@@ -15,8 +15,8 @@
   private CallerResponses() {}
 
   /**
-   * Creates the response that the request was not executed and never will be, and that the caller
-   * may retry.
+   * Creates a response stating that the request was not and will not be executed, and that the
+   * caller may retry.
    *
    * @param retryAfterNanos time after which the caller may retry
    */
@@ -38,12 +38,12 @@
             response.status(), EndToEndHeaders.copyOf(response.headers()), response.body());
   }
 
-  /** Creates the response that the request may have been executed. */
+  /** Creates a response stating that the request may have been executed. */
   static CallerResponse possiblyExecuted(HttpResponseStatus status, String reason) {
     return plainText(status, new DefaultHttpHeaders(), reason);
   }
 
-  /** Creates the response that no route matches the request. */
+  /** Creates a response stating that no route matches the request. */
   static CallerResponse noRoute() {
     return plainText(HttpResponseStatus.NOT_FOUND, new DefaultHttpHeaders(), "no_route");
   }
--- a/front/src/main/java/org/magnoliaswitch/front/request/Exchange.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/Exchange.java
@@ -19,8 +19,8 @@
  */
 final class Exchange implements RequestHandler.Call {
   /**
-   * Stands in for the usual latency while there is no configuration: the start of an instance takes
-   * about as long.
+   * Stands in for the usual latency while there is no configuration, or while a stale one has no
+   * route for the request: the start of an instance takes about as long.
    */
   private static final double UNKNOWN_LATENCY_NANOS = TimeUnit.MILLISECONDS.toNanos(160);
 
--- a/front/src/main/java/org/magnoliaswitch/front/request/ExecutionState.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/ExecutionState.java
@@ -36,8 +36,8 @@
    */
   Optional<FinalResponse> finalResponse(HttpResponseStatus status, String reason, boolean written) {
     if (serverFailure != null) {
-      // The server executed the request, so its response tells the caller more than one of this
-      // instance.
+      // The server executed the request, so its response is more informative for the caller than
+      // one that this instance creates.
       return Optional.of(new FinalResponse(serverFailure, RequestReport.SERVER_FAILED));
     }
     return possiblyExecuted || written
--- a/front/src/main/java/org/magnoliaswitch/front/request/FurtherAttempts.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/FurtherAttempts.java
@@ -44,42 +44,46 @@
   }
 
   /**
-   * Whether a further attempt is allowed after a server rejected the request; an allowed attempt is
-   * charged to the retry budget.
+   * Returns whether a further attempt is allowed after a server rejected the request, and charges
+   * an allowed attempt to the retry budget.
    */
-  boolean mayRetryAfterRejection() {
+  boolean tryRetryAfterRejection() {
     boolean prioritized = environment.settings().mechanisms().enabled(Mechanism.LAST_TRIES_FIRST);
-    return mayRetry(prioritized ? times.callerRetry() : CallerRetry.NONE);
+    return tryRetry(prioritized ? times.callerRetry() : CallerRetry.NONE);
   }
 
   /**
-   * Whether a further attempt is allowed after one that brought no response or a failure; an
-   * allowed attempt is charged to the retry budget.
+   * Returns whether a further attempt is allowed after one that brought no response or a failure,
+   * and charges an allowed attempt to the retry budget.
    */
-  boolean mayRetry() {
-    return mayRetry(CallerRetry.NONE);
+  boolean tryRetry() {
+    return tryRetry(CallerRetry.NONE);
   }
 
   /**
-   * Whether a further attempt is allowed beside one whose answer is overdue; an allowed attempt is
-   * charged to the retry budget.
+   * Returns whether a further attempt is allowed beside one whose answer is overdue, and charges an
+   * allowed attempt to the retry budget.
    */
-  boolean mayHedge() {
+  boolean tryHedge() {
     if (!crashes.mayHedge()) {
       report.furtherAttemptDenied(service, RoutedExchange.CRASHES_SERVERS, times.remainingNanos());
       return false;
     }
-    return mayRetry();
+    return tryRetry();
   }
 
-  private boolean mayRetry(CallerRetry callerRetry) {
-    Optional<String> denialReason = denialReason(callerRetry);
+  private boolean tryRetry(CallerRetry callerRetry) {
+    Optional<String> denialReason = chargeOrDeny(callerRetry);
     denialReason.ifPresent(
         reason -> report.furtherAttemptDenied(service, reason, times.remainingNanos()));
     return denialReason.isEmpty();
   }
 
-  private Optional<String> denialReason(CallerRetry callerRetry) {
+  /**
+   * Charges a further attempt to the retry budget; returns the reason for the denial if the attempt
+   * is not allowed.
+   */
+  private Optional<String> chargeOrDeny(CallerRetry callerRetry) {
     if (attempts >= route.maxServers()) {
       return Optional.of("most_servers");
     }
--- a/front/src/main/java/org/magnoliaswitch/front/request/HedgeSearch.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/HedgeSearch.java
@@ -41,7 +41,7 @@
     if (!exchange.waitsOnlyFor(late)) {
       return;
     }
-    if (exchange.attempts().mayHedge()) {
+    if (exchange.attempts().tryHedge()) {
       placement.sendTo(server);
     } else {
       denied = true;
--- a/front/src/main/java/org/magnoliaswitch/front/request/LoadProber.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/LoadProber.java
@@ -24,9 +24,9 @@
 /**
  * Probes candidate servers for their load right before a request is placed.
  *
- * <p>A neighbour makes a server several times slower for a few hundred milliseconds, so the samples
- * from other responses are mostly too old. A probe also proves that a kept connection still works
- * before a non-idempotent request is written on it.
+ * <p>Another process on its machine makes a server several times slower for a few hundred
+ * milliseconds, so the samples from other responses are mostly too old. A probe also proves that an
+ * idle connection still works before a non-idempotent request is written on it.
  */
 final class LoadProber {
   /**
@@ -38,10 +38,10 @@
   /** Time after which a connection that has not answered a health check counts as hung. */
   private static final long PROBE_TIMEOUT_MILLIS = 300;
 
-  /** Idle time up to which a kept connection may carry a health check. */
+  /** Idle time up to which an idle connection is used for a health check. */
   private static final long MAX_IDLE_NANOS = TimeUnit.SECONDS.toNanos(30);
 
-  /** Number of probes of one server that may be sent at once after a pause. */
+  /** Number of probes of one server that may be sent at once after a time without probes. */
   private static final double BURST = 4;
 
   /** A remaining time in milliseconds, with or without a fraction. */
@@ -55,10 +55,10 @@
   }
 
   /**
-   * Probes each candidate on a kept connection, or on a new one if there is none. The request would
-   * need such a connection itself, and if its server is not chosen, it stays open for the next
-   * request. Where each instance sees few requests, only half of the probes could be sent without
-   * new connections.
+   * Probes each candidate that its budget allows: on an idle connection, or on a new one if it has
+   * no connection at all. The request would need such a connection itself, and if its server is not
+   * chosen, the connection stays open for the next request. Where each instance sees few requests,
+   * only half of the probes could be sent without new connections.
    *
    * @param onComplete runs when it is time to choose a server
    */
@@ -181,8 +181,8 @@
       ended = true;
       boolean answered = reply instanceof ServerReply.Complete;
       environment.metrics().count("probes", service(), answered ? "answered" : "broken");
-      if (reply instanceof ServerReply.Complete whole) {
-        recordResponse(whole);
+      if (reply instanceof ServerReply.Complete complete) {
+        recordResponse(complete);
       }
       round.probeEnded();
     }
--- a/front/src/main/java/org/magnoliaswitch/front/request/NoticeHeaders.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/NoticeHeaders.java
@@ -11,7 +11,10 @@
 import org.magnoliaswitch.front.load.ServerNotice;
 import org.magnoliaswitch.front.version.HeaderNames;
 
-/** Parses what a backend server asks of its callers from the headers of its response. */
+/**
+ * Parses the headers by which a backend server announces its departure, limits its requests or
+ * requests a pause.
+ */
 final class NoticeHeaders {
   /** Value of the header by which a server states that it is not leaving. */
   private static final String NOT_LEAVING = "0";
--- a/front/src/main/java/org/magnoliaswitch/front/request/RequestPlacement.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RequestPlacement.java
@@ -21,7 +21,7 @@
   /** Interval between two searches for capacity while no response of a server reports any. */
   private static final long SEARCH_INTERVAL_MILLIS = 12;
 
-  /** The request that is placed. */
+  /** The exchange whose request is placed; it makes the attempts and responds to the caller. */
   interface Owner {
     /** Whether the request still needs a response. */
     boolean awaitsResponse();
@@ -143,9 +143,8 @@
         query(),
         attemptedServerIds,
         result -> {
-          // While a search waits for health checks, a response may have offered capacity and the
-          // request
-          // was sent there; a second attempt would execute it twice.
+          // While a search waits for health checks, a response may have offered capacity, and the
+          // request may have been sent there; sending it again could execute it twice.
           if (owner.awaitsResponse() && searchNumber == searchCount) {
             action.accept(result);
           }
--- a/front/src/main/java/org/magnoliaswitch/front/request/RequestReport.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RequestReport.java
@@ -30,7 +30,7 @@
     return requestId;
   }
 
-  /** Reports an attempt that brought no response. */
+  /** Reports an attempt at a server that was unreachable or rejected the request. */
   void attemptFailed(String event, String service, String server, String key, String cause) {
     environment.metrics().count("attempts", service, event);
     environment
--- a/front/src/main/java/org/magnoliaswitch/front/request/RequestTimes.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RequestTimes.java
@@ -7,7 +7,10 @@
 import org.magnoliaswitch.front.process.Environment;
 import org.magnoliaswitch.front.version.Route;
 
-/** Computes the time that a request has left, counted from when its caller first sent it. */
+/**
+ * Computes the times of a request. The latency objective counts from when the caller first sent the
+ * request; the caller's timeout and the wait count from when this instance has read it.
+ */
 final class RequestTimes {
   private final Environment environment;
   private final Route route;
--- a/front/src/main/java/org/magnoliaswitch/front/request/RoutedExchange.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/RoutedExchange.java
@@ -136,7 +136,7 @@
     }
     attempt.markOverdue(usualLatencyNanos);
     report.attemptOverdue(service, attempt.serverId(), usualLatencyNanos);
-    hedgeSearch.ifPresent(present -> present.search(attempt));
+    hedgeSearch.ifPresent(search -> search.search(attempt));
   }
 
   /** Whether the attempt is the only open one, so that nothing else can bring a response. */
@@ -160,8 +160,8 @@
   }
 
   /**
-   * Handles an attempt that was not written: the request became known to crash servers, or its
-   * server takes no more requests while it is cold.
+   * Handles an attempt that was not written: its server may not receive a request now, or the
+   * verdict on the request forbids or delays it.
    */
   void notAdmitted(Attempt attempt) {
     openAttempts.remove(attempt);
@@ -227,7 +227,7 @@
     if (doneOrOthersOpen()) {
       return;
     }
-    if (attempts.mayRetryAfterRejection()) {
+    if (attempts.tryRetryAfterRejection()) {
       placement.place();
     } else {
       giveUp("rejected", RetryAfter.Cause.REJECTED);
@@ -242,7 +242,7 @@
     if (doneOrOthersOpen()) {
       return;
     }
-    if (route.idempotent() && attempts.mayRetry()) {
+    if (route.idempotent() && attempts.tryRetry()) {
       placement.place();
     } else {
       giveUp("broken", RetryAfter.Cause.REJECTED);
@@ -264,7 +264,7 @@
       return;
     }
     openAttempts.forEach(Attempt::superseded);
-    if (failed && route.idempotent() && remainingNanos() > 0 && attempts.mayRetry()) {
+    if (failed && route.idempotent() && remainingNanos() > 0 && attempts.tryRetry()) {
       placement.place();
       return;
     }
@@ -272,7 +272,8 @@
   }
 
   /**
-   * Records the latency of a response, compared with what was expected of the server.
+   * Records the latency of a response, compared with what was expected of the server, and offers
+   * the capacity that the server has free now to the first queued request.
    *
    * @param slowness slowness of the server when the request was sent; with its slowness at the time
    *     of the response, the usual latency would be estimated too short
--- a/front/src/main/java/org/magnoliaswitch/front/request/ServerFinder.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/ServerFinder.java
@@ -5,9 +5,9 @@
 import org.magnoliaswitch.front.load.ServerState;
 import org.magnoliaswitch.front.load.Timeliness;
 
-/** Finds the server for a request. */
+/** Selects backend servers with free capacity for requests. */
 interface ServerFinder {
-  /** The result of a search. */
+  /** The selected server, or why none is selected. */
   sealed interface Result {
     /** A server with free capacity. */
     record Chosen(ServerState server) implements Result {}
--- a/front/src/main/java/org/magnoliaswitch/front/request/ServerSearch.java
+++ b/front/src/main/java/org/magnoliaswitch/front/request/ServerSearch.java
@@ -54,8 +54,8 @@
       List<Ranked> ranked = rank(query, excluded);
       boolean probeable = policy.isPresent();
       ServerSelection.Step step = ServerSelection.next(ranked, context(query), round, probeable);
-      if (step instanceof ServerSelection.Step.Probe ask && policy.isPresent()) {
-        probe(ask.servers(), policy.get(), round + 1);
+      if (step instanceof ServerSelection.Step.Probe probe && policy.isPresent()) {
+        probe(probe.servers(), policy.get(), round + 1);
       } else if (step instanceof ServerSelection.Step.NoServer) {
         found.accept(resultIfNoneAllowed(query, excluded));
       } else {
@@ -91,7 +91,7 @@
       case ServerSelection.Step.Send send -> new Result.Chosen(send.server());
       case ServerSelection.Step.AllBusy full -> new Result.Full(0);
       case ServerSelection.Step.NoServer none -> new Result.None();
-      case ServerSelection.Step.Probe ask -> new Result.Full(0);
+      case ServerSelection.Step.Probe probe -> new Result.Full(0);
     };
   }
 
--- a/front/src/test/java/org/magnoliaswitch/front/request/RestartedServerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/RestartedServerTest.java
@@ -113,7 +113,7 @@
 
   /**
    * A server has answered and keeps its connection; then it restarts at another port. The next
-   * request must reach the new process: on the kept connection it would meet a reset, or another
+   * request must reach the new process: on the idle connection it would meet a reset, or another
    * process that now has the old address.
    */
   @Test
