--- a/front/src/main/java/org/magnoliaswitch/front/process/ColdServerQuotas.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ColdServerQuotas.java
@@ -38,7 +38,10 @@
     return routes.get().warmup(service).durationNanos();
   }
 
-  /** Whether this instance is selected as one of the senders to a server while it is cold. */
+  /**
+   * Whether this instance may send to a server while it is cold: if the service has warm-up limits,
+   * only the selected instances may. Does not depend on whether the server is cold now.
+   */
   public boolean selected(ServerState server) {
     return share(server).maxPerSecond() > 0;
   }
--- a/front/src/main/java/org/magnoliaswitch/front/process/CrashArchive.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/CrashArchive.java
@@ -16,29 +16,32 @@
 import org.magnoliaswitch.front.loop.Loop;
 
 /**
- * Keeps server crashes and the requests that were in progress in the store, so that they outlast
- * the loss of all instances and reach instances without peers. Runs on the control loop.
+ * Stores server crashes, each with the request that was in progress, so that they outlast the loss
+ * of all instances and reach instances without peers. Runs on the control loop.
  *
- * <p>Most requests that are in progress when a server crashes are bystanders, which a second server
- * answers shortly afterwards. A first crash is written only if it still counts after that time, so
- * an ordinary crash costs no call to the store.
+ * <p>Most requests that are in progress when a server crashes have not caused the crash, and a
+ * second server answers them shortly afterwards. A first crash is written only if it still counts
+ * after that time, so an ordinary crash costs no call to the store.
  */
 final class CrashArchive {
   /**
-   * A bystander's second attempt is answered within this time; crashes that still count afterwards
-   * are written.
+   * The second attempt of a request that has not caused a crash is answered within this time;
+   * crashes that still count afterwards are written.
    */
   private static final long WRITE_DELAY_MILLIS = 300;
 
   /** Delay before an unconfirmed write is repeated. */
   private static final long RETRY_MILLIS = 1_000;
 
-  /** Maximum number of crashes in one write; the store accepts a hundred entries per call. */
+  /**
+   * Maximum number of crashes that one write adds; the store accepts a hundred entries per call.
+   * The number of crashes that one write removes is not limited.
+   */
   private static final int MAX_ENTRIES = 100;
 
   /**
-   * Maximum number of crashes that wait to be written; of a flood of crashes, the first ones are as
-   * useful as all.
+   * Maximum number of crashes that wait to be written. If there are more, further ones are not
+   * written: the first ones are as useful as all.
    */
   private static final int MAX_PENDING = 500;
 
@@ -100,8 +103,9 @@
   }
 
   /**
-   * Reads the stored crashes; called whenever this instance reads the platform itself. Right after
-   * the start the read is skipped if peers send their state anyway, since callers are waiting then.
+   * Reads the stored crashes; called after this instance has read the list of servers from the
+   * platform itself, but not after a failed read. Right after the start the read is skipped if
+   * peers send their state anyway, since callers are waiting then.
    */
   void read() {
     boolean skipped = !readOnce && receivesFromPeers.getAsBoolean();
--- a/front/src/main/java/org/magnoliaswitch/front/process/CrashStore.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/CrashStore.java
@@ -6,7 +6,7 @@
 import org.magnoliaswitch.core.crash.CrashReport;
 
 /**
- * Persistent store for server crashes and the requests that were in progress, which outlasts the
+ * Stores server crashes, each with the request that was in progress, so that they outlast the
  * instances that observed them. Callbacks run on the control event loop.
  */
 public interface CrashStore {
--- a/front/src/main/java/org/magnoliaswitch/front/process/DiscoveryReconciler.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/DiscoveryReconciler.java
@@ -13,7 +13,8 @@
  * <p>While the store is unavailable, entries of live servers expire, and right after its recovery a
  * read lists few servers or none. Trusting that read would leave no server to send to, so missing
  * entries are retained until live servers have had time to register again; an entry that is still
- * missing then is dropped. Outside of outages a missing entry is dropped at once.
+ * missing then is dropped. Missing entries of draining servers are not retained. Outside of outages
+ * a missing entry is dropped at once.
  */
 public final class DiscoveryReconciler {
   /**
@@ -72,8 +73,9 @@
 
   /**
    * Returns the time until missing entries are no longer retained; empty while none are retained or
-   * if a peer's list has been adopted since. A read is due at that time: delayed until the next
-   * regular read, a server that left during the outage would receive requests for that much longer.
+   * if a peer's list has been adopted since. A read is due at that time. If it were delayed until
+   * the next regular read, servers that left during the outage would receive requests for that much
+   * longer.
    */
   public OptionalLong untilRetentionEndsNanos(long nowNanos) {
     return retaining && !adoptedSince
--- a/front/src/main/java/org/magnoliaswitch/front/process/Front.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/Front.java
@@ -10,8 +10,8 @@
 /** A running instance: the listener for callers, the readiness check and the graceful shutdown. */
 public final class Front {
   /**
-   * How long requests are accepted after the stop signal: the load balancer removes an instance
-   * after two failed checks, one second apart.
+   * How long requests are accepted after the stop signal: the balancer in front of the instances
+   * removes an instance after two failed checks, one second apart.
    */
   private static final long UNREADY_NANOS = TimeUnit.MILLISECONDS.toNanos(3_200);
 
@@ -24,7 +24,10 @@
   /** Interval at which the shutdown checks whether all connections are closed. */
   private static final long POLL_MILLIS = 50;
 
-  /** Interval at which idle connections are closed that their servers would soon close. */
+  /**
+   * Interval at which idle connections are closed that their servers would soon close, and servers
+   * that have become unavailable are replaced.
+   */
   private static final long SWEEP_MILLIS = 500;
 
   private final Environment environment;
@@ -73,8 +76,8 @@
 
   /**
    * Shuts down gracefully and calls back when the process may exit. The readiness check fails at
-   * once, requests are served until the load balancer has noticed, then idle connections are closed
-   * and requests in flight are finished.
+   * once, requests are served for the time in which the balancer in front of the instances removes
+   * this one, then idle connections are closed and requests in flight are finished.
    */
   public void stop(Runnable stopped) {
     stopping = true;
--- a/front/src/main/java/org/magnoliaswitch/front/process/LatencyBaseline.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/LatencyBaseline.java
@@ -25,7 +25,7 @@
     this.nanos = INITIAL_SHARE * route.objectiveNanos();
   }
 
-  /** Returns the expected latency. */
+  /** Returns the moving average in nanoseconds. */
   public double nanos() {
     return nanos;
   }
--- a/front/src/main/java/org/magnoliaswitch/front/process/PollingSchedule.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/PollingSchedule.java
@@ -15,10 +15,10 @@
  *
  * @param rank position among the seeds; {@code Integer.MAX_VALUE} for other instances
  * @param firstStart whether all instances start together for the first time
- * @param jitterMillis added to the staleness limit of an instance that is not a seed
+ * @param jitterMillis added to the staleness limit of instances other than the first three seeds
  */
 public record PollingSchedule(int rank, boolean firstStart, long jitterMillis) {
-  /** Range of the jitter in the staleness limits of instances that are not seeds. */
+  /** Range of the jitter in the staleness limits of instances other than the first three seeds. */
   public static final int JITTER_SPAN_MILLIS = 300;
 
   /**
@@ -63,7 +63,9 @@
     if (ageMillis <= uptimeMillis) {
       return Math.max(0, limit - ageMillis);
     }
-    // Nothing is confirmed yet. Callers wait after a restart, but not at the first start.
+    // No state has been confirmed since the start. After a restart callers wait, so the instance
+    // reads at once. At the first start of all instances there are no callers yet, and only the
+    // first seed reads at once.
     return firstStart && rank != 0 ? Math.max(0, limit - uptimeMillis) : 0;
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/process/RouteState.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/RouteState.java
@@ -34,14 +34,15 @@
   }
 
   /**
-   * Returns the longest time that any caller of a route has been willing to wait. A caller that
-   * waits less has spent the difference on earlier attempts.
+   * Records how long a caller of a route is willing to wait, and returns the longest time that any
+   * caller of the route, including this one, has been willing to wait. A caller that waits less has
+   * spent the difference on earlier attempts.
    */
   public long longestWaitNanos(Route route, long callerWaitNanos) {
     return longestWaits.merge(route.name(), callerWaitNanos, Math::max);
   }
 
-  /** Returns the expected latency of a route. */
+  /** Returns the expected latency of a route on an undisturbed server. */
   public LatencyBaseline baseline(Route route) {
     return baselines.computeIfAbsent(route.name(), name -> new LatencyBaseline(route));
   }
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerDirectory.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerDirectory.java
@@ -34,7 +34,6 @@
   private ServerList current = ServerList.EMPTY;
   private Set<String> evacuated = Set.of();
 
-  /** Creates an empty directory. */
   public ServerDirectory(
       ServerConnector connector,
       Clocks clocks,
@@ -126,7 +125,10 @@
     groups.rebuild(byId.values());
   }
 
-  /** Closes idle connections that their servers would soon close. */
+  /**
+   * Closes idle connections that their servers would soon close, and selects servers anew if other
+   * servers are unavailable than before.
+   */
   public void sweep() {
     byId.values().forEach(pool -> pool.sweep(MAX_IDLE_NANOS));
     replaceUnavailable();
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerGroups.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerGroups.java
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Rebuilds the groups. Leaving servers are kept in addition to the selected ones, since they may
-   * still be executing requests.
+   * Selects the servers of each service anew. Leaving servers are kept in addition to the selected
+   * ones, since they may still be executing requests.
    */
   void rebuild(Collection<ServerPool> all) {
     Map<String, List<ServerPool>> accepting = new HashMap<>();
--- a/front/src/main/java/org/magnoliaswitch/front/process/ServerQuotas.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/ServerQuotas.java
@@ -14,8 +14,9 @@
  */
 public final class ServerQuotas {
   /**
-   * A limit that its server has not repeated for this time is tested with one request. Otherwise an
-   * instance without a share would never notice that the limit has been lifted.
+   * A limit that its server has not repeated for this time is tested with one request in each
+   * window of {@link RateLimitShare#WINDOW_NANOS}. Otherwise an instance without a share would
+   * never notice that the limit has been lifted.
    */
   private static final long LIMIT_TRIAL_NANOS = TimeUnit.SECONDS.toNanos(30);
 
@@ -60,7 +61,10 @@
 
   /**
    * Returns the minimum time until this instance may send a request to a server that is blocked
-   * now; {@link ServerState#NEVER} if that cannot be predicted.
+   * now. It covers the limit and the pause that the server has requested, but not the warm-up
+   * limits of its service, so it may be 0. It is {@link ServerState#NEVER} if this instance has no
+   * share of the requested limit, or if the service has warm-up limits and this instance is not
+   * selected as a sender to the server, even if the server is warm.
    */
   public long waitNanos(ServerState server) {
     return coldServers.selected(server) ? requestedWaitNanos(server) : ServerState.NEVER;
@@ -68,7 +72,7 @@
 
   /**
    * Returns the minimum time until the limit and the pause that a server has requested permit a
-   * request.
+   * request; {@link ServerState#NEVER} if this instance has no share of the limit.
    */
   private long requestedWaitNanos(ServerState server) {
     long pause = server.backpressure().remainingPauseNanos(clocks.nanos());
--- a/front/src/main/java/org/magnoliaswitch/front/process/StatePoller.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StatePoller.java
@@ -18,9 +18,9 @@
  *
  * <p>The state declared by operators and the list of servers are read separately and have separate
  * ages; the age of an instance's state is the larger of the two. One instance waits for changes of
- * the declared state with long polls. These can stop reporting changes while servers are still
- * read, so they are short, and the age of the declared state is reset only by their responses: if
- * it grows, another instance reads.
+ * the declared state with long polls. Long polls can stop reporting changes while reads of the
+ * servers still succeed. They are therefore short, and reads of the servers do not reset the age of
+ * the declared state: if it grows, another instance reads.
  */
 public final class StatePoller {
   /**
@@ -68,7 +68,7 @@
    * Creates a poller.
    *
    * @param receivesFromPeers whether other instances currently send their state to this one
-   * @param archive crash archive, which is read whenever the platform is
+   * @param archive crash archive, which is read after each read of the list of servers
    */
   public StatePoller(
       StateSource source,
@@ -94,7 +94,7 @@
     this.startedNanos = environment.clocks().nanos();
   }
 
-  /** Starts polling. */
+  /** Starts polling on the control loop; the first check of the schedule runs at once. */
   public void start() {
     loop.execute(this::check);
   }
@@ -154,8 +154,9 @@
   }
 
   /**
-   * Applies the declared state, evacuations first: a request that finds its route must not be sent
-   * to an evacuated server. Returns whether anything is newer than before.
+   * Applies the declared state and returns whether anything is newer than before. Evacuations are
+   * applied first: otherwise a request could find a new route and be sent to a server whose data
+   * centre the same state declares as evacuated.
    */
   private boolean offer(OperatorState state, String origin) {
     boolean evacuationsChanged = knownState.offer(state.evacuations(), origin);
@@ -237,6 +238,10 @@
     }
     long waitNanos = TimeUnit.MILLISECONDS.toNanos(PollingSchedule.WAIT_MILLIS);
     boolean waited = clocks.nanos() - begunNanos >= waitNanos;
+    // The platform holds a call without changes until the end of the wait, so a response after that
+    // confirms the state up to then. When an earlier response was created is unknown, so it
+    // confirms
+    // the state only up to the start of the call.
     operatorState.confirmed(waited ? begunNanos + waitNanos : begunNanos);
     if (!apply(read)) {
       // Only the age is new.
--- a/front/src/main/java/org/magnoliaswitch/front/process/StateSync.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StateSync.java
@@ -141,7 +141,7 @@
   /**
    * Queues new crash reports for publication. An instance reports its own observations to its
    * seeds, and they publish them to all their listeners; so a report reaches each instance once
-   * from each seed and is never sent back.
+   * from each seed, and the listeners do not report it to the seeds again.
    */
   private void enqueue(CrashWatch.Update update) {
     if (update.source() == CrashWatch.Source.OWN) {
--- a/front/src/main/java/org/magnoliaswitch/front/version/CallerLimits.java
+++ b/front/src/main/java/org/magnoliaswitch/front/version/CallerLimits.java
@@ -10,7 +10,7 @@
  */
 public record CallerLimits(
     int maxHeaderBytes, long maxBodyBytes, long headerTimeoutNanos, long idleTimeoutNanos) {
-  /** Limits that apply until a configuration has been received. */
+  /** Limits that apply until a configuration has been received: 16 KiB, 64 MiB, 3 s and 15 s. */
   public static final CallerLimits DEFAULT =
       new CallerLimits(16 * 1024, 64L << 20, 3_000_000_000L, 15_000_000_000L);
 }
--- a/front/src/main/java/org/magnoliaswitch/front/version/HeaderNames.java
+++ b/front/src/main/java/org/magnoliaswitch/front/version/HeaderNames.java
@@ -5,12 +5,14 @@
  *
  * @param requestId id of one attempt of a caller; echoed in the response
  * @param deadlineMillis milliseconds that the sender still waits
- * @param expectedServer id of the backend server incarnation a request is meant for
+ * @param expectedServer id of the backend server that a request is meant for, which may be the same
+ *     after a restart
  * @param notExecuted present on a response if the server did not execute the request
  * @param load load report of a backend server
- * @param serverId id of the incarnation that responds to a health check
+ * @param serverId id of the server that responds to a health check, which may be the same after a
+ *     restart
  * @param warmupLeft milliseconds for which the server that responds to a health check stays cold
- * @param leaving present on the responses of a server that is leaving
+ * @param leaving 0 or absent on a response unless the server is leaving
  * @param requestLimit requests per second that the responding server accepts from all instances
  *     together
  */
--- a/front/src/main/java/org/magnoliaswitch/front/version/RouteTable.java
+++ b/front/src/main/java/org/magnoliaswitch/front/version/RouteTable.java
@@ -40,7 +40,7 @@
     return version;
   }
 
-  /** Returns all routes. */
+  /** Returns the routes of all hosts. */
   public List<Route> routes() {
     return byHost.values().stream().flatMap(List::stream).toList();
   }
--- a/front/src/main/java/org/magnoliaswitch/front/version/ServerEntry.java
+++ b/front/src/main/java/org/magnoliaswitch/front/version/ServerEntry.java
@@ -61,7 +61,10 @@
     return id.equals(other.id) && startedMillis > other.startedMillis;
   }
 
-  /** Whether two entries are equal except for the remaining warm-up time. */
+  /**
+   * Whether two entries are equal, apart from the lengths of their remaining warm-up times: it only
+   * counts whether any warm-up remains.
+   */
   public boolean equivalent(ServerEntry other) {
     return id.equals(other.id)
         && startedMillis == other.startedMillis
--- a/front/src/test/java/org/magnoliaswitch/front/process/CrashArchiveTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/process/CrashArchiveTest.java
@@ -108,8 +108,8 @@
   }
 
   /**
-   * Guards against writes for bystanders: a second server answers the request before the delay has
-   * passed.
+   * Guards against writes for requests that have not caused the crash: a second server answers the
+   * request before the delay has passed.
    */
   @Test
   public void crashClearedInTimeIsNotWritten() throws InterruptedException {
