--- a/front/src/main/java/org/magnoliaswitch/front/process/CrashArchive.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/CrashArchive.java
@@ -103,9 +103,9 @@
   }
 
   /**
-   * Reads the stored crashes; called after this instance has read the list of servers from the
-   * platform itself, but not after a failed read. Right after the start the read is skipped if
-   * peers send their state anyway, since callers are waiting then.
+   * Reads the stored crashes; called whenever a read of this instance from the platform has
+   * returned a list of servers. Right after the start the read is skipped if peers send their state
+   * anyway, since callers are waiting then.
    */
   void read() {
     boolean skipped = !readOnce && receivesFromPeers.getAsBoolean();
--- a/front/src/main/java/org/magnoliaswitch/front/process/Front.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/Front.java
@@ -26,7 +26,7 @@
 
   /**
    * Interval at which idle connections are closed that their servers would soon close, and servers
-   * that have become unavailable are replaced.
+   * are selected anew if other servers are unavailable than before.
    */
   private static final long SWEEP_MILLIS = 500;
 
--- a/front/src/main/java/org/magnoliaswitch/front/process/StatePoller.java
+++ b/front/src/main/java/org/magnoliaswitch/front/process/StatePoller.java
@@ -68,7 +68,8 @@
    * Creates a poller.
    *
    * @param receivesFromPeers whether other instances currently send their state to this one
-   * @param archive crash archive, which is read after each read of the list of servers
+   * @param archive crash archive, which is read whenever the platform has returned a list of
+   *     servers
    */
   public StatePoller(
       StateSource source,
@@ -239,9 +240,8 @@
     long waitNanos = TimeUnit.MILLISECONDS.toNanos(PollingSchedule.WAIT_MILLIS);
     boolean waited = clocks.nanos() - begunNanos >= waitNanos;
     // The platform holds a call without changes until the end of the wait, so a response after that
-    // confirms the state up to then. When an earlier response was created is unknown, so it
-    // confirms
-    // the state only up to the start of the call.
+    // confirms the state up to then. When an earlier response was created is unknown, so it counts
+    // as confirming only the state at the start of the call.
     operatorState.confirmed(waited ? begunNanos + waitNanos : begunNanos);
     if (!apply(read)) {
       // Only the age is new.
