--- a/front/src/main/java/org/magnoliaswitch/front/load/AdmissionLimit.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/AdmissionLimit.java
@@ -6,17 +6,15 @@
  * <p>Load pattern: the instances together receive more requests than the servers can execute, and
  * no instance sees the requests of the others. A server slows down by more than half when its last
  * slots fill, so its throughput is highest with four fifths of them busy. Every request beyond that
- * queues at the server, delays all others and is finally rejected. Requests without capacity
- * therefore wait at this instance for a moment, or are refused while their callers still have time
- * to retry.
+ * queues at the server, delays all others and is finally rejected. Requests for which no server has
+ * capacity therefore wait at this instance for a moment, or are refused while their callers still
+ * have time to retry.
  */
 public final class AdmissionLimit {
   /** Share of busy slots above which servers slow down. */
   static final double KNEE = 0.8;
 
-  /**
-   * Tolerance for estimates that decay towards a whole number, so that they count as that number.
-   */
+  /** Estimates approach an integer without reaching it; within this difference they count as it. */
   private static final double ROUNDING_TOLERANCE = 0.25;
 
   /** Share of busy slots up to which late requests are admitted. */
@@ -44,18 +42,21 @@
    * <p>A server without a load sample gets one request of this instance at a time, unless its
    * service never reports its load.
    *
-   * <p>Late requests leave one slot of each server free. When every second request returns after a
-   * refusal, late requests would otherwise take the capacity of those that can still be answered in
-   * time, until no request is. While timely requests wait, late ones may use a single slot only:
-   * after a burst, late requests of callers with long timeouts would otherwise occupy half of the
-   * slots with answers that arrive too late, and the service would not recover.
+   * <p>The limit is a share of the server's slots, rounded down to an integer of at least 1: 0.8
+   * for timely requests, 0.6 for late ones, and 0.2 for late ones while timely requests wait for
+   * capacity. When every second request returns after a refusal, late requests with the same limit
+   * would take the capacity of those that can still be answered in time, until no request is. The
+   * limit is lower while timely requests wait because, after a burst, late requests of callers with
+   * long timeouts would otherwise occupy half of the slots with answers that arrive too late, and
+   * the service would not recover.
    */
   public static boolean hasCapacity(ServerState server, PlacementContext context) {
     if (!context.enabled(Mechanism.KNEE_BOUND)) {
       return true;
     }
     if (!server.hasSample()) {
-      // After a restart of all instances, callers retry at the same moment and no load is known.
+      // Limits the burst when all instances restart: callers retry at the same moment, and no load
+      // is known.
       return !context.load().reportsLoad() || server.inFlight() == 0;
     }
     double limit = Math.max(1, Math.floor(slotShare(context) * server.sample().slots()));
@@ -68,10 +69,10 @@
    * Whether a server without capacity below the knee should get one more request all the same, in a
    * slot that slows its work down.
    *
-   * <p>Load pattern: servers with few slots, all of them busy. Leaving one slot of six free keeps a
-   * server fast, but leaving one of two free wastes half of it: with both busy its throughput is
-   * higher, although each answer takes longer. The slot is therefore filled if that raises the
-   * throughput and the answer is still expected in time.
+   * <p>Load pattern: servers with few slots, all of them busy up to the knee. The knee leaves two
+   * slots of six free, which keeps a server fast, but also one of two, which wastes half of the
+   * server: with both busy its throughput is higher, although each answer takes longer. The slot is
+   * therefore filled if that raises the throughput and the answer is still expected in time.
    */
   public static boolean mayExceedKnee(ServerState server, PlacementContext context) {
     if (!context.enabled(Mechanism.LAST_SLOT)
--- a/front/src/main/java/org/magnoliaswitch/front/load/Backpressure.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/Backpressure.java
@@ -41,7 +41,7 @@
   }
 
   /**
-   * Keeps the longest pause, because a server that is asked again may name less than the time that
+   * Keeps the pause that ends last, because a later notice may state less than the time that
    * remains.
    */
   private void extendPause(ServerNotice notice, long nowNanos) {
--- a/front/src/main/java/org/magnoliaswitch/front/load/CallerRetry.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/CallerRetry.java
@@ -7,14 +7,14 @@
  * and free of I/O.
  *
  * <p>Load pattern: all servers of a service reject a share of their requests, independently of
- * their load, and more requests need a further attempt than the retry budget allows. A caller on
- * its first try that is refused immediately retries, which serves it as well as a further attempt;
- * a caller that has already retried gets no answer at all. The budget is therefore spent on the
- * latter first.
+ * their load, and more requests need a further attempt than the retry budget allows. If a caller's
+ * first attempt is refused immediately, the caller retries, which serves it as well as a further
+ * attempt of this instance; a caller that has already retried gets no answer at all. The budget is
+ * therefore spent first on callers that have already retried.
  *
  * <p>A retrying caller opens a new connection and has less time left than others. Neither sign is
  * reliable alone: some callers open a connection for each request, and some have shorter timeouts
- * from the start. When in doubt, a request counts as the caller's last try.
+ * from the start. When in doubt, a request counts as the caller's last attempt.
  */
 public enum CallerRetry {
   /** The caller is expected to retry after an immediate refusal, with time left to be served. */
@@ -26,7 +26,9 @@
   NONE;
 
   /**
-   * Share of the timeout by which callers differ; a caller that lacks more has used up that time.
+   * Share of the longest timeout by which the timeouts of first attempts may differ. A caller whose
+   * remaining time is shorter by more than that is assumed to have spent the difference on an
+   * earlier attempt.
    */
   private static final double TIMEOUT_SPREAD = 0.25;
 
--- a/front/src/main/java/org/magnoliaswitch/front/load/ColdShare.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/ColdShare.java
@@ -19,8 +19,8 @@
  * @param maxPerSecond requests of this instance to the server in any second; 0 if it may not send
  */
 public record ColdShare(int maxPerSecond) {
-  /** Part of the slack that is planned with; the rest covers a wrong count of instances. */
-  private static final double PLANNED_SLACK_SHARE = 0.5;
+  /** Part of the slack that is allotted; the rest covers a wrong count of instances. */
+  private static final double ALLOTTED_SLACK_SHARE = 0.5;
 
   /** Share for servers without a limit. */
   private static final ColdShare UNLIMITED = new ColdShare(Integer.MAX_VALUE);
@@ -35,9 +35,9 @@
     /** Used when a deployment configures no bounds: the declared rate itself. */
     public static final Bounds NONE = new Bounds(1, 0);
 
-    /** Requests in any second that all instances together may plan with. */
-    double plannedPerSecond(Warmup warmup) {
-      return excess * warmup.requestsPerSecond() + PLANNED_SLACK_SHARE * slack;
+    /** Requests in any second that are allotted to all instances together. */
+    double allottedPerSecond(Warmup warmup) {
+      return excess * warmup.requestsPerSecond() + ALLOTTED_SLACK_SHARE * slack;
     }
   }
 
@@ -46,10 +46,10 @@
     if (!warmup.limited()) {
       return UNLIMITED;
     }
-    double planned = bounds.plannedPerSecond(warmup);
-    if (selection.candidates() <= planned) {
-      return new ColdShare((int) (planned / selection.candidates()));
+    double allotted = bounds.allottedPerSecond(warmup);
+    if (selection.candidates() <= allotted) {
+      return new ColdShare((int) (allotted / selection.candidates()));
     }
-    return new ColdShare(selection.selected(planned) ? 1 : 0);
+    return new ColdShare(selection.selected(allotted) ? 1 : 0);
   }
 }
--- a/front/src/main/java/org/magnoliaswitch/front/load/Mechanism.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/Mechanism.java
@@ -2,8 +2,10 @@
 
 /**
  * Parts of the decisions under load that can be disabled individually, to find out the effect of
- * each. None of them is needed for correctness: at-most-once execution, complete answers and
- * draining work without them.
+ * each. At-most-once execution, complete answers and draining do not depend on them.
+ *
+ * <p>The names of the constants, in lower case, are the values of the setting {@code
+ * disabledMechanisms}.
  */
 public enum Mechanism {
   /** Probes servers for their load before a request is placed. */
@@ -27,13 +29,16 @@
   WAITING,
   /** Lets late requests yield capacity while other requests wait. */
   YIELDING,
-  /** Orders waiting requests by timeliness, priority and objective instead of age. */
+  /**
+   * Orders waiting requests by timeliness, priority and the end of the objective, instead of only
+   * by the end of the objective.
+   */
   LINE_ORDER,
   /** Sends an overdue idempotent request to a second server. */
   HEDGING,
   /** Lets callers whose request a server rejected retry immediately. */
   PROMPT_RETURNS,
-  /** Spreads the retry times that refused callers are told. */
+  /** Spreads the retry times in the responses to refused callers. */
   SPREAD_RETURNS,
   /** Prefers callers that cannot retry when further attempts are made. */
   LAST_TRIES_FIRST,
@@ -47,7 +52,7 @@
   NEAR_FIRST,
   /** Restricts an instance to a subset of the servers of a large service. */
   SUBSET,
-  /** Replaces unreachable servers in the subset. */
+  /** Replaces unavailable (unreachable or paused) servers in the subset. */
   REPLACEMENTS,
   /** Writes requests that may be executed at most once only to recently used connections. */
   FRESH_CONNECTIONS,
--- a/front/src/main/java/org/magnoliaswitch/front/load/PendingQueue.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/PendingQueue.java
@@ -32,7 +32,7 @@
   private final Map<String, PriorityQueue<T>> byService = new HashMap<>();
 
   public PendingQueue(Mechanisms mechanisms) {
-    this.order = mechanisms.enabled(Mechanism.LINE_ORDER) ? byTimeliness() : byAge();
+    this.order = mechanisms.enabled(Mechanism.LINE_ORDER) ? byTimeliness() : byObjectiveEnd();
   }
 
   private static <T extends Entry> Comparator<T> byTimeliness() {
@@ -41,7 +41,7 @@
         .thenComparingLong(Entry::objectiveEndNanos);
   }
 
-  private static <T extends Entry> Comparator<T> byAge() {
+  private static <T extends Entry> Comparator<T> byObjectiveEnd() {
     return Comparator.comparingLong(Entry::objectiveEndNanos);
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/load/Placement.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/Placement.java
@@ -10,10 +10,11 @@
  * Ranks the backend servers that are eligible for a request. Stateless and free of I/O.
  *
  * <p>The cost of a server is the share of the request's value that is expected to be lost there: by
- * failures, by answers after the objective, and by traffic between data centres. Load that shifts
- * within milliseconds makes most samples stale, so the weight of a sample decays with its age
- * towards the service's average; requests that this instance has started since are added. A little
- * noise keeps instances with the same information from choosing the same server.
+ * failures, by answers after the objective, by a full server, by opening a connection, and by
+ * traffic between data centres. Load that shifts within milliseconds makes most samples stale, so
+ * the weight of a sample decays with its age towards the service's average; requests that this
+ * instance has started since are added. A little noise keeps instances with the same information
+ * from choosing the same server.
  */
 public final class Placement {
   /**
@@ -31,7 +32,8 @@
   private static final double COLD_FACTOR = 2.0;
 
   /**
-   * Steepness of the probability of missing the objective around a predicted latency equal to it.
+   * Steepness of the probability that an answer is late, where the predicted latency equals the
+   * allowed time.
    */
   private static final double LATE_STEEPNESS = 6.0;
 
@@ -46,8 +48,9 @@
 
   /**
    * Cost of opening a connection, relative to the value of a request. The handshake takes a slot of
-   * the server for a moment. The cost must outweigh the cost that a single slow answer adds to its
-   * server: otherwise an instance with few requests switches servers after each of them.
+   * the server for a moment. This cost must exceed the cost that a single slow answer adds to its
+   * server: otherwise an instance with few requests would open a connection to another server after
+   * each slow answer.
    */
   private static final double CONNECT_LOSS = 0.1;
 
@@ -107,7 +110,7 @@
     return usual * slowness <= context.allowedNanos();
   }
 
-  /** Share of the request's value that is expected to be lost at a server. */
+  /** Cost of placing the request at a server: the share of its value expected to be lost there. */
   public static double cost(ServerState server, PlacementContext context) {
     double latency = predictedNanos(server, context);
     double ratio = latency / Math.max(1, context.allowedNanos());
@@ -125,7 +128,10 @@
         + connectLoss;
   }
 
-  /** Predicted latency at a server. */
+  /**
+   * Predicts the latency at a server from the usual latency, the slowness and warm-up of the
+   * server, its recent latencies and the requests outstanding there.
+   */
   public static double predictedNanos(ServerState server, PlacementContext context) {
     double slowness = slowness(server, context.load(), context.nowNanos());
     double slots = server.sample().slots();
@@ -144,7 +150,11 @@
         * (kneeFactor + queuedRounds);
   }
 
-  /** Number of requests expected to be outstanding at a server. */
+  /**
+   * Estimates the requests outstanding at a server: those of its last sample, whose weight decays
+   * towards the service's average, and those that this instance has started since; at least the
+   * requests of this instance that are in flight there.
+   */
   public static double expectedOutstanding(
       ServerState server, double meanOutstanding, long nowNanos) {
     double deviation = server.sample().outstanding() - meanOutstanding;
--- a/front/src/main/java/org/magnoliaswitch/front/load/PlacementContext.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/PlacementContext.java
@@ -8,7 +8,7 @@
  * @param timeliness whether the request can still be answered in time
  * @param load known load of the service as a whole
  * @param dataCentre data centre of this instance
- * @param mechanisms the mechanisms in force
+ * @param mechanisms the mechanisms that are not disabled
  * @param nowNanos monotonic time
  */
 public record PlacementContext(
@@ -19,7 +19,6 @@
     String dataCentre,
     Mechanisms mechanisms,
     long nowNanos) {
-  /** Whether a mechanism is in force. */
   boolean enabled(Mechanism mechanism) {
     return mechanisms.enabled(mechanism);
   }
--- a/front/src/main/java/org/magnoliaswitch/front/load/ProbeShare.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/ProbeShare.java
@@ -4,9 +4,9 @@
  * The rate at which one instance may probe one server for its load. Stateless and free of I/O.
  *
  * <p>The probe budget of a server covers all instances together, and the instances do not
- * coordinate: each takes an equal share, divided among the instances that send to the server at
- * all. Divided among all instances of a large deployment, it would allow each of them a probe in
- * many seconds, and most requests would be placed without one.
+ * coordinate. The budget is divided among the instances that send to the server. Divided among all
+ * instances of a large deployment, each could probe only once in many seconds, and most requests
+ * would be placed without a probe.
  */
 public final class ProbeShare {
   /** Allowance for instances that this one does not know of. */
--- a/front/src/main/java/org/magnoliaswitch/front/load/RateLimitShare.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/RateLimitShare.java
@@ -32,9 +32,9 @@
    * @param subsetShare share of the service's servers that each instance sends to
    */
   public static RateLimitShare of(double perSecond, SenderSelection selection, double subsetShare) {
-    double planned = perSecond * WINDOW_NANOS / NANOS_PER_SECOND;
+    double allotted = perSecond * WINDOW_NANOS / NANOS_PER_SECOND;
     double senders = Math.max(1, selection.candidates() * Math.min(1, SUBSET_MARGIN * subsetShare));
-    double evenShare = planned / senders;
+    double evenShare = allotted / senders;
     int wholeRequests = (int) evenShare;
     boolean extraRequest = selection.selected((evenShare - wholeRequests) * selection.candidates());
     return new RateLimitShare(wholeRequests + (extraRequest ? 1 : 0));
--- a/front/src/main/java/org/magnoliaswitch/front/load/RetryAfter.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/RetryAfter.java
@@ -8,20 +8,23 @@
  * <p>Load pattern: many callers are refused at the same moment of a burst. If all of them waited
  * for the same time, they would retry together and be refused again, so their retries are spread
  * over about the time in which the servers finish their outstanding requests. Where servers reject
- * a share of all requests at random, waiting changes nothing: the next try has the same chance, and
- * the earlier it arrives the likelier it is answered in time.
+ * a share of all requests at random, waiting changes nothing: the next attempt has the same chance,
+ * and the earlier it arrives the likelier it is answered in time.
  */
 public final class RetryAfter {
   /** Reason for a refusal. */
   public enum Cause {
-    /** All servers are busy. */
+    /**
+     * The request could not be sent: all servers are busy, there is no server, the configuration is
+     * missing or stale, or the time to send it has passed.
+     */
     BUSY,
 
     /** Servers with capacity rejected the request or were unreachable. */
     REJECTED
   }
 
-  /** Earliest retry after a refusal by busy servers, as a multiple of the usual latency. */
+  /** Earliest retry after a {@link Cause#BUSY} refusal, as a multiple of the usual latency. */
   private static final double BUSY_MIN_FACTOR = 0.5;
 
   /** Interval over which these retries are spread, as a multiple of the usual latency. */
--- a/front/src/main/java/org/magnoliaswitch/front/load/SendWindow.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/SendWindow.java
@@ -15,15 +15,14 @@
   private final Deque<Long> sendTimes = new ArrayDeque<>(1);
 
   /**
-   * Creates an empty window.
+   * Creates an empty window that keeps the time of a request for the retention time.
    *
-   * @param retentionNanos longest span that is queried
+   * @param retentionNanos longest span that can be queried
    */
   SendWindow(long retentionNanos) {
     this.retentionNanos = retentionNanos;
   }
 
-  /** Adds a request. */
   void add(long nowNanos) {
     removeExpired(nowNanos);
     sendTimes.addLast(nowNanos);
--- a/front/src/main/java/org/magnoliaswitch/front/load/SenderSelection.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/SenderSelection.java
@@ -22,7 +22,7 @@
    */
   private static final double INDEXED_SHARE = 0.75;
 
-  /** Distance, in standard deviations, of the mean number of selected instances below the bound. */
+  /** How many standard deviations the mean number of senders is below the maximum. */
   private static final double SELECTION_MARGIN = 3;
 
   /**
@@ -31,7 +31,7 @@
    */
   private static final int MIN_INSTANCES = 2;
 
-  /** Number of instances that may send to the server at the same time. */
+  /** Number of instances among which the senders are selected. */
   int candidates() {
     return Math.max(MIN_INSTANCES, instances);
   }
--- a/front/src/main/java/org/magnoliaswitch/front/load/ServerSelection.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/ServerSelection.java
@@ -52,7 +52,7 @@
       }
     }
 
-    /** There are eligible servers, but all of them are busy. */
+    /** There are eligible servers, but none with capacity is expected to answer in time. */
     record AllBusy() implements Step {}
 
     /** There is no eligible server. */
--- a/front/src/main/java/org/magnoliaswitch/front/load/ServerState.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/ServerState.java
@@ -18,7 +18,8 @@
   private static final double SUCCESS_WEIGHT = 0.2;
 
   /**
-   * Half-life of the failure share: long enough to avoid a flapping server during its bad phase.
+   * Half-life of the failure share: long enough to avoid a server that fails intermittently
+   * throughout a phase of failures.
    */
   private static final double FAILURE_HALF_LIFE_NANOS = TimeUnit.SECONDS.toNanos(4);
 
@@ -199,7 +200,12 @@
     inFlight--;
   }
 
-  /** Records a load sample that arrived with an answer. */
+  /**
+   * Records a load sample that arrived with an answer or with the response to a probe.
+   *
+   * @param ownInSample requests of this instance that were in flight at the server when the sample
+   *     arrived; they count as included in it
+   */
   public void recordSample(LoadSample newSample, int ownInSample, long nowNanos) {
     sample = newSample;
     sampleNanos = nowNanos;
@@ -234,12 +240,12 @@
     failureNanos = nowNanos;
   }
 
-  /** Sets the number of idle kept-alive connections to the server. */
+  /** Sets the number of idle connections to the server. */
   public void idleConnections(int count) {
     idleConnections = count;
   }
 
-  /** Number of idle kept-alive connections to the server. */
+  /** Number of idle connections to the server. */
   public int idleConnections() {
     return idleConnections;
   }
--- a/front/src/main/java/org/magnoliaswitch/front/load/ServerSubset.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/ServerSubset.java
@@ -38,8 +38,11 @@
   /** Minimum size of a subset: some servers may be gone, slow or cold at the same time. */
   static final int MIN_SIZE = 8;
 
-  /** Minimum number of reachable servers in a subset; unreachable servers are replaced up to it. */
-  static final int MIN_REACHABLE = 6;
+  /**
+   * Minimum number of available servers in a subset; unavailable (unreachable or paused) servers
+   * are replaced up to it.
+   */
+  static final int MIN_AVAILABLE = 6;
 
   /** Maximum size of a subset while the number of instances is unknown. */
   private static final int INITIAL_SIZE = 16;
@@ -106,27 +109,28 @@
   }
 
   /**
-   * Selects a subset with replacements for unreachable servers, up to {@link #MIN_REACHABLE}. When
+   * Selects a subset with replacements for unavailable servers, up to {@link #MIN_AVAILABLE}. When
    * a data centre becomes unreachable, an instance there loses most of its servers, and its callers
    * would be refused although servers elsewhere have capacity. If subsets kept their full size, all
    * instances would compete for the remaining servers. Replaced servers stay in the subset, so that
    * they are noticed when they return.
    *
-   * @param unreachable servers to which no connection could be opened recently
+   * @param unavailable servers that were recently unreachable or that requested a pause from this
+   *     instance
    * @param selector selects a subset of a list, deterministically
    */
   public static <T> List<T> withReplacements(
-      List<T> servers, Set<T> unreachable, UnaryOperator<List<T>> selector) {
+      List<T> servers, Set<T> unavailable, UnaryOperator<List<T>> selector) {
     Set<T> selected = new LinkedHashSet<>(selector.apply(servers));
-    Predicate<T> isUnreachable = unreachable::contains;
-    long reachableCount = selected.stream().filter(isUnreachable.negate()).count();
-    if (reachableCount == selected.size() || reachableCount >= MIN_REACHABLE) {
+    Predicate<T> isUnavailable = unavailable::contains;
+    long availableCount = selected.stream().filter(isUnavailable.negate()).count();
+    if (availableCount == selected.size() || availableCount >= MIN_AVAILABLE) {
       return new ArrayList<>(selected);
     }
-    List<T> reachable = servers.stream().filter(isUnreachable.negate()).toList();
-    selector.apply(reachable).stream()
+    List<T> available = servers.stream().filter(isUnavailable.negate()).toList();
+    selector.apply(available).stream()
         .filter(server -> !selected.contains(server))
-        .limit(MIN_REACHABLE - reachableCount)
+        .limit(MIN_AVAILABLE - availableCount)
         .toList()
         .forEach(selected::add);
     return new ArrayList<>(selected);
--- a/front/src/main/java/org/magnoliaswitch/front/load/SharedRetryBudget.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/SharedRetryBudget.java
@@ -42,12 +42,12 @@
     private static final double RATIO_SHARE = 0.8;
 
     /**
-     * A restarted instance does not remember its spending: the slack must suffice for both
-     * lifetimes.
+     * A restarted instance does not remember its spending: within one window, the slack must
+     * suffice for its attempts before and after the restart.
      */
     private static final double SLACK_SHARE = 0.5;
 
-    /** Limits of a deployment that configures none. */
+    /** Limits for training runs and tests; a deployment takes its limits from the settings. */
     public static final Limits DEFAULT = new Limits(0.1, 0, TimeUnit.SECONDS.toNanos(10));
 
     double allowed(int requests, int instances) {
@@ -58,7 +58,8 @@
   /**
    * Creates an unused budget.
    *
-   * @param rounding threshold at which this instance rounds up, uniformly distributed from 0 to 1
+   * @param rounding added to the budget before it is rounded down, so that this instance rounds up
+   *     from a fraction of {@code 1 - rounding}; uniformly distributed from 0 to 1
    */
   public SharedRetryBudget(Limits limits, double rounding) {
     this.limits = limits;
@@ -77,8 +78,9 @@
     double fullBudget = limits.allowed(sum(requests), instances);
     double allowed =
         switch (callerRetry) {
-          // One further attempt is available to every caller: a single rejection under normal load
-          // must not cost a caller a try.
+          // The first further attempt in a window is available to these callers too if the full
+          // budget allows it: a single rejection under normal load must not cost a caller an
+          // attempt.
           case EXPECTED -> Math.max(RETRYING_CALLER_SHARE * fullBudget, Math.min(1, fullBudget));
           case NONE -> fullBudget;
         };
--- a/front/src/main/java/org/magnoliaswitch/front/load/Timeliness.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/Timeliness.java
@@ -6,7 +6,8 @@
   IN_TIME,
 
   /**
-   * The request is past its objective, usually because its caller was refused before and retried. A
+   * The request can no longer be answered within its objective: the objective has passed, or less
+   * than the usual latency is left, usually because its caller was refused before and retried. A
    * late answer keeps a tenth of its value; the request must not take capacity from timely ones.
    */
   LATE
--- a/front/src/main/java/org/magnoliaswitch/front/load/TokenBucket.java
+++ b/front/src/main/java/org/magnoliaswitch/front/load/TokenBucket.java
@@ -2,7 +2,10 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** A token bucket. Not thread-safe. */
+/**
+ * Limits the rate of an operation but allows bursts: each operation takes a token, and unused
+ * tokens accumulate up to the capacity of the bucket. Not thread-safe.
+ */
 public final class TokenBucket {
   private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
