--- a/front/src/main/java/org/magnoliaswitch/front/peer/Compression.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/Compression.java
@@ -23,7 +23,7 @@
     try (DeflaterOutputStream out = new DeflaterOutputStream(compressed)) {
       out.write(content);
     } catch (IOException e) {
-      throw new IllegalStateException("writing to memory does not fail", e);
+      throw new IllegalStateException("cannot compress the content", e);
     }
     return compressed.toByteArray();
   }
--- a/front/src/main/java/org/magnoliaswitch/front/peer/ConfigurationUpdate.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/ConfigurationUpdate.java
@@ -4,7 +4,7 @@
 import org.magnoliaswitch.front.version.RouteUpdate;
 
 /**
- * The state of a peer's configuration.
+ * A peer's configuration version, its age and an update to it.
  *
  * @param version version in force at the peer
  * @param ageMillis time since this version and the evacuated data centres were confirmed to be the
--- a/front/src/main/java/org/magnoliaswitch/front/peer/HeldConfiguration.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/HeldConfiguration.java
@@ -4,8 +4,9 @@
  * The configuration version that a listener holds, and how urgently it wants newer ones.
  *
  * @param version version in force at the listener; 0 if none
- * @param lastUpdate version of the last update received on this connection; 0 if none. The sender
- *     waits for it before it sends another update, so that versions never queue up on a slow link
+ * @param lastUpdate version of the last update received on this connection; 0 if none. The peer
+ *     sends no further update until this version is reported, so that versions never queue up on a
+ *     slow link
  * @param delivery how soon it wants updates
  */
 public record HeldConfiguration(long version, long lastUpdate, Delivery delivery) {
--- a/front/src/main/java/org/magnoliaswitch/front/peer/ListenerUpdateCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/ListenerUpdateCodec.java
@@ -39,7 +39,7 @@
       }
       return out.toByteArray();
     } catch (IOException e) {
-      throw new IllegalStateException("writing to memory does not fail", e);
+      throw new IllegalStateException("cannot encode the listener update", e);
     }
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerHub.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerHub.java
@@ -49,7 +49,7 @@
   /** A listener that has not reported what it holds by then runs an earlier release. */
   private static final long ACKNOWLEDGEMENT_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
-  /** Above any version, so that a message never contains the whole configuration. */
+  /** Above any version, so that a message never contains the full configuration. */
   private static final long NEVER_OUTDATED = Long.MAX_VALUE;
 
   private static final int LENGTH_BYTES = 4;
@@ -287,16 +287,17 @@
     }
 
     /**
-     * Disconnects a listener that does not read. Its pending bytes are bounded, because nothing is
-     * written while the channel is not writable.
+     * Disconnects a listener that does not read: the number of bytes to send before its channel is
+     * writable again does not decrease. Its pending bytes are bounded, because nothing is written
+     * while the channel is not writable.
      */
     private void closeIfStalled() {
-      long unsent = channel.bytesBeforeWritable();
-      if (stallDetector.stalled(unsent, clocks.nanos())) {
+      long bytesBeforeWritable = channel.bytesBeforeWritable();
+      if (stallDetector.stalled(bytesBeforeWritable, clocks.nanos())) {
         listenersDropped.increment();
         logger.atInfo().log(
             "event=listener_dropped peer=%s unsent_bytes=%d held_version=%d",
-            channel.remoteAddress(), unsent, updates.heldVersion());
+            channel.remoteAddress(), bytesBeforeWritable, updates.heldVersion());
         Channels.close(channel);
       }
     }
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerUpdate.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerUpdate.java
@@ -13,7 +13,7 @@
  * @param ageMillis time since the platform confirmed the sender's state; it keeps growing while the
  *     state is forwarded, so that state circulating between instances never looks fresh
  * @param instances number of instances that the sender knows of, itself included
- * @param routes the sender's whole configuration if it changed since its last message; only in
+ * @param routes the sender's full configuration if it changed since its last message; only in
  *     messages to and from instances of an earlier release
  * @param servers changes of the sender's server list since its last message
  * @param evacuations the evacuated data centres
--- a/front/src/main/java/org/magnoliaswitch/front/peer/PeerUpdateCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/PeerUpdateCodec.java
@@ -56,7 +56,7 @@
       }
       return out.toByteArray();
     } catch (IOException e) {
-      throw new IllegalStateException("writing to memory does not fail", e);
+      throw new IllegalStateException("cannot encode the peer update", e);
     }
   }
 
@@ -74,7 +74,7 @@
       out.packLong(ageMillis);
       return out.toByteArray();
     } catch (IOException e) {
-      throw new IllegalStateException("writing to memory does not fail", e);
+      throw new IllegalStateException("cannot encode the tail of the peer update", e);
     }
   }
 
--- a/front/src/main/java/org/magnoliaswitch/front/peer/RouteExtensionsCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/RouteExtensionsCodec.java
@@ -31,10 +31,10 @@
       out.packLong(service.warmup().durationNanos());
       out.packDouble(service.warmup().requestsPerSecond());
     }
-    List<Route> bound =
+    List<Route> restricted =
         table.routes().stream().filter(route -> !route.regions().isEmpty()).toList();
-    out.packArrayHeader(bound.size());
-    for (Route route : bound) {
+    out.packArrayHeader(restricted.size());
+    for (Route route : restricted) {
       out.packString(route.name());
       out.packArrayHeader(route.regions().size());
       for (String region : route.regions()) {
--- a/front/src/main/java/org/magnoliaswitch/front/peer/RouteUpdateCodec.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/RouteUpdateCodec.java
@@ -39,7 +39,7 @@
       }
       return out.toByteArray();
     } catch (IOException e) {
-      throw new IllegalStateException("writing to memory does not fail", e);
+      throw new IllegalStateException("cannot encode the route update", e);
     }
   }
 
@@ -91,7 +91,7 @@
     return RouteExtensionsCodec.read(in, RouteTableCodec.read(in));
   }
 
-  /** Writes the changed routes, services and limits in the format of a whole configuration. */
+  /** Writes the changed routes, services and limits in the format of a full configuration. */
   private static void writeChanges(MessagePacker out, RouteChanges changes) throws IOException {
     out.packLong(changes.base());
     out.packArrayHeader(changes.removed().size());
--- a/front/src/main/java/org/magnoliaswitch/front/peer/ServerChanges.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/ServerChanges.java
@@ -20,7 +20,7 @@
     removed = List.copyOf(removed);
   }
 
-  /** Compares two lists; the remaining time of a warm-up does not count as a difference. */
+  /** Compares two lists. Of a warm-up, only whether any time remains is compared, not how much. */
   public static ServerChanges between(ServerList before, ServerList after) {
     List<ServerEntry> changed = new ArrayList<>();
     for (ServerEntry entry : after.servers().values()) {
--- a/front/src/main/java/org/magnoliaswitch/front/peer/StallDetector.java
+++ b/front/src/main/java/org/magnoliaswitch/front/peer/StallDetector.java
@@ -7,18 +7,21 @@
   /** Without progress for this time, the link has failed or the listener has stopped reading. */
   private static final long STALLED_NANOS = TimeUnit.SECONDS.toNanos(3);
 
-  private long leastUnsentBytes = Long.MAX_VALUE;
+  private long leastBytesBeforeWritable = Long.MAX_VALUE;
   private long progressNanos;
 
-  /** Starts afresh after all pending bytes have been sent. */
+  /** Restarts the measurement; called while the channel is writable. */
   void reset() {
-    leastUnsentBytes = Long.MAX_VALUE;
+    leastBytesBeforeWritable = Long.MAX_VALUE;
   }
 
-  /** Whether the number of unsent bytes has not decreased for too long. */
-  boolean stalled(long unsentBytes, long nowNanos) {
-    if (unsentBytes < leastUnsentBytes) {
-      leastUnsentBytes = unsentBytes;
+  /**
+   * Whether the number of bytes to send before the channel is writable has not decreased for too
+   * long.
+   */
+  boolean stalled(long bytesBeforeWritable, long nowNanos) {
+    if (bytesBeforeWritable < leastBytesBeforeWritable) {
+      leastBytesBeforeWritable = bytesBeforeWritable;
       progressNanos = nowNanos;
     }
     return nowNanos - progressNanos > STALLED_NANOS;
