--- a/front/src/main/java/org/magnoliaswitch/front/connection/CallerConnection.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/CallerConnection.java
@@ -95,7 +95,10 @@
     }
   }
 
-  /** Closes the connection if it has been idle, or its caller sends a request, for too long. */
+  /**
+   * Closes the connection if it has been idle for too long, or its caller takes too long to send a
+   * request.
+   */
   void sweep(long nowNanos) {
     if (!pendingRequests.isEmpty() || closing) {
       return;
@@ -119,7 +122,11 @@
     }
   }
 
-  /** Whether a request is being received, executed or answered. */
+  /**
+   * Whether a request is being received or executed. Does not see a response whose bytes are still
+   * being sent, nor the beginning of a request head that arrived in one read with the end of the
+   * previous request.
+   */
   boolean busy() {
     return partial || head != null || !pendingRequests.isEmpty();
   }
--- a/front/src/main/java/org/magnoliaswitch/front/connection/CallerListener.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/CallerListener.java
@@ -40,7 +40,7 @@
   private final RequestHandler handler;
   private final Supplier<CallerLimits> limits;
   private final Set<CallerConnection> connections = new HashSet<>();
-  private @Nullable Channel server;
+  private @Nullable Channel listeningChannel;
   private long reservedBodyBytes;
   private boolean stopping;
 
@@ -63,16 +63,16 @@
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childOption(ChannelOption.SO_KEEPALIVE, true)
             .childHandler(new Pipeline());
-    server = bootstrap.bind(address).syncUninterruptibly().channel();
+    listeningChannel = bootstrap.bind(address).syncUninterruptibly().channel();
     loop.everyMillis(SWEEP_MILLIS, this::sweep);
   }
 
   /** Address that callers connect to, with the actual port. */
   public InetSocketAddress address() {
-    if (server == null) {
+    if (listeningChannel == null) {
       throw new IllegalStateException("not bound");
     }
-    return (InetSocketAddress) server.localAddress();
+    return (InetSocketAddress) listeningChannel.localAddress();
   }
 
   /** Makes each further response close its connection; must run on the event loop. */
@@ -82,8 +82,8 @@
 
   /** Stops accepting connections and closes idle ones; must run on the event loop. */
   public void stopAccepting() {
-    if (server != null) {
-      Channels.close(server);
+    if (listeningChannel != null) {
+      Channels.close(listeningChannel);
     }
     Set.copyOf(connections).forEach(CallerConnection::closeIfIdle);
   }
@@ -151,7 +151,9 @@
   /**
    * Notifies a connection of bytes before the decoder buffers them, and applies the limits in force
    * when a request starts. Connections outlive configurations, and outdated limits would reject
-   * valid requests.
+   * valid requests. A request head whose beginning arrived in one read with the end of the previous
+   * request does not count as started until further bytes have arrived ({@link
+   * CallerConnection#busy}).
    */
   private final class InboundBytesHandler extends ChannelInboundHandlerAdapter {
     private final CallerConnection connection;
--- a/front/src/main/java/org/magnoliaswitch/front/connection/RequestHandler.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/RequestHandler.java
@@ -9,7 +9,11 @@
 public interface RequestHandler {
   /** A request in progress, as its caller's connection sees it. */
   interface Call {
-    /** Called when the caller has disconnected, so that the response is not needed any more. */
+    /**
+     * Called when the response is not needed any more: the caller has disconnected, or this
+     * instance closes the connection after an earlier response and drops the pipelined requests
+     * behind it.
+     */
     void callerDisconnected();
   }
 
@@ -31,7 +35,8 @@
   /**
    * Starts a request.
    *
-   * @param response receives the response, exactly once unless the caller disconnects
+   * @param response receives the response, exactly once unless {@link Call#callerDisconnected} is
+   *     called before
    */
   Call start(CallerRequest request, Consumer<CallerResponse> response);
 }
--- a/front/src/main/java/org/magnoliaswitch/front/connection/ServerConnection.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/ServerConnection.java
@@ -59,7 +59,7 @@
   private final Clocks clocks;
   private final HeaderNames names;
   private final ByteBuf body = Unpooled.buffer(0);
-  private @Nullable Exchange exchange;
+  private @Nullable PendingRequest pending;
   private @Nullable HttpResponse head;
   private boolean skipping;
   private boolean outOfSync;
@@ -69,8 +69,11 @@
   private long keepAliveNanos = Long.MAX_VALUE;
 
   /** The pending request and the listener of its reply. */
-  private record Exchange(
-      Optional<String> requestId, boolean head, ChannelFuture written, ReplyListener listener) {}
+  private record PendingRequest(
+      Optional<String> requestId,
+      boolean headRequest,
+      ChannelFuture written,
+      ReplyListener listener) {}
 
   ServerConnection(Channel channel, Owner owner, Clocks clocks, HeaderNames names) {
     this.channel = channel;
@@ -81,17 +84,18 @@
   }
 
   /**
-   * Writes a request; the listener is called once with the reply.
+   * Writes a request. The listener is called at most once with the reply, and not after {@link
+   * #abandon}.
    *
    * @param requestId id that the response must echo; absent for health checks
    */
   public void send(FullHttpRequest request, Optional<String> requestId, ReplyListener listener) {
-    if (exchange != null) {
+    if (pending != null) {
       throw new IllegalStateException("an exchange is already in progress on this connection");
     }
-    boolean headOnly = HttpMethod.HEAD.equals(request.method());
+    boolean headRequest = HttpMethod.HEAD.equals(request.method());
     ChannelFuture written = channel.writeAndFlush(request);
-    exchange = new Exchange(requestId, headOnly, written, listener);
+    pending = new PendingRequest(requestId, headRequest, written, listener);
     if (closed) {
       finish(new ServerReply.Broken("closed"));
     }
@@ -99,12 +103,12 @@
 
   /** Whether the pending request is a HEAD, whose response has no body despite its headers. */
   boolean headPending() {
-    return exchange != null && exchange.head();
+    return pending != null && pending.headRequest();
   }
 
   /** Closes the connection without calling the listener of a pending exchange. */
   public void abandon() {
-    exchange = null;
+    pending = null;
     close();
   }
 
@@ -156,7 +160,7 @@
       fail("malformed");
       return;
     }
-    if (exchange == null || releasePending) {
+    if (pending == null || releasePending) {
       // Unsolicited bytes: nothing that follows on this connection can be matched to a request.
       releasePending = false;
       close();
@@ -182,7 +186,7 @@
   }
 
   private boolean matchesRequest(HttpResponse response) {
-    if (exchange == null || exchange.requestId().isEmpty()) {
+    if (pending == null || pending.requestId().isEmpty()) {
       return true;
     }
     String echoed = response.headers().get(names.requestId());
@@ -192,7 +196,7 @@
           && (response.headers().contains(names.notExecuted())
               || response.status().code() == HttpResponseStatus.MISDIRECTED_REQUEST.code());
     }
-    return echoed.equals(exchange.requestId().get());
+    return echoed.equals(pending.requestId().get());
   }
 
   private void readContent(HttpContent content) {
@@ -215,16 +219,16 @@
     if (body.capacity() > (64 << 10)) {
       body.capacity(0);
     }
-    Exchange finished = exchange;
+    PendingRequest finished = pending;
     if (finished == null) {
       return;
     }
-    // After a response before the whole request was written, the server would read the rest of the
-    // request as a new one.
+    // If the response arrived before the request was fully written, the server would read the rest
+    // of the request as a new one.
     boolean requestIncomplete = !finished.written().isDone();
     boolean delimited =
         HttpUtil.isContentLengthSet(response) || HttpUtil.isTransferEncodingChunked(response);
-    boolean keepAlive = HttpUtil.isKeepAlive(response) && (delimited || finished.head());
+    boolean keepAlive = HttpUtil.isKeepAlive(response) && (delimited || finished.headRequest());
     keepAliveNanos = keepAliveNanos(response);
     if (requestIncomplete || outOfSync || !keepAlive || !channel.isActive()) {
       close();
@@ -235,8 +239,8 @@
   }
 
   private void finish(ServerReply reply) {
-    Exchange finished = exchange;
-    exchange = null;
+    PendingRequest finished = pending;
+    pending = null;
     head = null;
     skipping = false;
     if (finished != null) {
--- a/front/src/main/java/org/magnoliaswitch/front/connection/ServerPool.java
+++ b/front/src/main/java/org/magnoliaswitch/front/connection/ServerPool.java
@@ -84,9 +84,11 @@
 
   /**
    * Checks whether the server's process has crashed, after a connection to it was closed: a live
-   * process accepts another connection and keeps it open. A machine that does not answer at all
-   * cannot be distinguished from a network failure and counts as live, and so does a server in an
-   * evacuated data centre, which must not be contacted. Concurrent checks share one result.
+   * process accepts another connection and keeps it open. Only a refused connection counts as a
+   * crash; a server that closes the accepted connection is checked a second time, and counts as
+   * live if it accepts again. A machine that does not answer at all cannot be distinguished from a
+   * network failure and counts as live, and so does a server in an evacuated data centre, which
+   * must not be contacted. Concurrent checks share one result.
    *
    * @param callback receives true if the process has crashed
    */
--- a/front/src/main/java/org/magnoliaswitch/front/loop/Channels.java
+++ b/front/src/main/java/org/magnoliaswitch/front/loop/Channels.java
@@ -10,8 +10,9 @@
 import java.net.InetSocketAddress;
 
 /**
- * Channel operations whose futures can be ignored: a failed write or close closes the channel, and
- * its handler is notified of that.
+ * Channel operations. The caller of {@link #connect} must handle its future. The futures of writes
+ * and closes are ignored: a failed write or close closes the channel, and its handler is notified
+ * of that.
  */
 public final class Channels {
   private Channels() {}
@@ -28,12 +29,10 @@
         .connect(address);
   }
 
-  /** Closes a channel. */
   public static void close(ChannelOutboundInvoker channel) {
     var unused = channel.close();
   }
 
-  /** Writes and flushes a message. */
   public static void write(ChannelOutboundInvoker channel, Object message) {
     var unused = channel.writeAndFlush(message);
   }
