--- a/core/src/main/java/org/magnoliaswitch/core/connection/ConnectionPool.java
+++ b/core/src/main/java/org/magnoliaswitch/core/connection/ConnectionPool.java
@@ -124,7 +124,10 @@
     return open.get();
   }
 
-  /** Closes all idle connections; connections in use are closed by their exchanges. */
+  /**
+   * Closes all idle connections; connections in use return to the pool when their exchange
+   * completes.
+   */
   public void closeIdle() {
     distrustIdleSince(clocks.nanos());
     evictUnusable();
--- a/core/src/main/java/org/magnoliaswitch/core/crash/CrashCase.java
+++ b/core/src/main/java/org/magnoliaswitch/core/crash/CrashCase.java
@@ -56,9 +56,10 @@
   private static final long FIRST_TRIAL_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(10);
 
   /**
-   * Time in which a trial is expected to give a result, longer than nearly all answers take. Copies
-   * of the request wait for it: if they were rejected, callers that poll one path would lose tries
-   * while servers crash for other reasons.
+   * Time in which a trial is expected to give a result, longer than nearly all answers take. Until
+   * then copies of the request get the verdict {@link Verdict#WAIT}. The front lets them wait: if
+   * they were rejected, callers that poll one path would lose attempts while servers crash for
+   * other reasons. The entry rejects them, since waiting would block a thread.
    */
   private static final long TRIAL_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(2);
 
@@ -126,7 +127,7 @@
     return new CrashCase(remaining, retained, trials, allClearedTrials, lastChangeNanos);
   }
 
-  /** Returns this case without the crashes that were caused by another request. */
+  /** Returns this case without the crashes that are attributed to another request. */
   CrashCase withoutExplained(Set<String> explained) {
     if (crashes.keySet().stream().noneMatch(explained::contains)) {
       return this;
--- a/core/src/main/java/org/magnoliaswitch/core/crash/CrashReport.java
+++ b/core/src/main/java/org/magnoliaswitch/core/crash/CrashReport.java
@@ -8,7 +8,9 @@
  * always the same.
  *
  * <p>Servers are identified by their incarnations. An incarnation crashes at most once, so a
- * cleared crash stays cleared.
+ * cleared crash stays cleared. The entry does not know incarnations and passes the ids of declared
+ * servers, which survive a restart: repeated crashes of one server during a request count once
+ * there.
  */
 public sealed interface CrashReport {
   /** The request that the report is about. */
--- a/core/src/main/java/org/magnoliaswitch/core/crash/CrashTable.java
+++ b/core/src/main/java/org/magnoliaswitch/core/crash/CrashTable.java
@@ -13,8 +13,9 @@
  * The requests during which servers crashed. Immutable; each update returns a new table.
  *
  * <p>The size is bounded: when the table is full, the case with the fewest crashes is evicted
- * first, and among those the oldest. To evict a real cause, an attacker must crash two servers for
- * each entry.
+ * first, and among those the oldest. Each crash adds the identities of every request in flight on
+ * that server, so a single crash can add many cases. To evict a suspect request, however, an
+ * attacker must fill the table with requests that were each in flight during at least two crashes.
  */
 public final class CrashTable {
   /** Maximum number of cases; each takes about a kilobyte at most. */
@@ -27,9 +28,9 @@
 
   /**
    * Orders cases by the strength of their evidence. While all crashes of a request came with one
-   * caller, the caller-specific request explains them, so that other callers are not rejected;
-   * after a crash with a second caller, the request content is the stronger explanation. Ties are
-   * broken identically on every instance.
+   * caller, they are attributed to the caller-specific request, so that other callers are not
+   * rejected; after a crash with a second caller, they are attributed to the request content. Ties
+   * are broken identically on every instance.
    */
   private static final Comparator<Map.Entry<RequestIdentity, CrashCase>> STRONGEST_EVIDENCE_FIRST =
       Comparator.<Map.Entry<RequestIdentity, CrashCase>>comparingInt(
@@ -42,7 +43,7 @@
 
   private final Map<RequestIdentity, CrashCase> cases;
 
-  /** The cases without the crashes that are explained by a confirmed request. */
+  /** The cases without the crashes that are attributed to another, confirmed request. */
   private final Map<RequestIdentity, CrashCase> effectiveCases;
 
   private final Set<String> crashedServers;
@@ -55,9 +56,9 @@
   }
 
   /**
-   * Attributes each crash to one cause: a crash during a confirmed request is not held against any
-   * other request. Otherwise a caller that polls one path would be blamed as well when its trial
-   * goes to the same server as the cause.
+   * Attributes each crash to one cause: a crash during a confirmed request is not counted against
+   * any other request. Otherwise a caller that polls one path would be blamed as well when its
+   * trial goes to the same server as the cause.
    */
   private static Map<RequestIdentity, CrashCase> effectiveCases(
       Map<RequestIdentity, CrashCase> cases) {
@@ -164,7 +165,7 @@
         request, crashCase(request).crashes().keySet(), crashCase(request).trials());
   }
 
-  /** Whether an answer would clear anything held against a request. */
+  /** Whether an answer would clear anything counted against a request. */
   public boolean clearable(RequestIdentity request) {
     return crashCase(request).clearable();
   }
--- a/core/src/main/java/org/magnoliaswitch/core/crash/SuspicionLevel.java
+++ b/core/src/main/java/org/magnoliaswitch/core/crash/SuspicionLevel.java
@@ -2,12 +2,12 @@
 
 /** The level of suspicion that a request crashes the servers that execute it. */
 public enum SuspicionLevel {
-  /** No more crashes than a bystander may be involved in. */
+  /** Fewer than two crashes, as a bystander may be involved in. */
   UNSUSPECTED,
 
-  /** Two or more servers crashed while serving the request. */
+  /** At least two servers crashed while serving the request. */
   SUSPECT,
 
-  /** A server also crashed when the request was let through as a suspect. */
+  /** At least three servers crashed, at least one of them in a trial of the suspect request. */
   CONFIRMED
 }
--- a/core/src/main/java/org/magnoliaswitch/core/peer/CrashReportCodec.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/CrashReportCodec.java
@@ -23,9 +23,7 @@
   private static final int CLEARED = 2;
   private static final int TRIAL_STARTED = 3;
 
-  /**
-   * More reports than a full table of crash cases produces; a longer list is not a valid message.
-   */
+  /** Maximum number of reports per message; a longer list is not a valid message. */
   private static final int MAX_REPORTS = 16 << 10;
 
   /** More servers than one crash case can name; a longer set is not a valid message. */
--- a/core/src/main/java/org/magnoliaswitch/core/peer/PeerMessage.java
+++ b/core/src/main/java/org/magnoliaswitch/core/peer/PeerMessage.java
@@ -39,8 +39,7 @@
   record ClaimResults(List<ClaimResult> results) implements PeerMessage {}
 
   /**
-   * Reports of requests that crash servers; the reply contains the reports that the receiver has in
-   * addition.
+   * Reports of requests that crash servers; the reply contains all reports of the receiver.
    *
    * @param reports reports, encoded by {@link CrashReportCodec}
    */
--- a/core/src/main/java/org/magnoliaswitch/core/platform/HttpPlatform.java
+++ b/core/src/main/java/org/magnoliaswitch/core/platform/HttpPlatform.java
@@ -104,10 +104,10 @@
   }
 
   @Override
-  public List<ListedMachine> list() throws PlatformException {
+  public List<ListedInstance> list() throws PlatformException {
     byte[] body = expectOk(call(new HttpGet(base.resolve("/instances"))));
     try {
-      return Json.MAPPER.readValue(body, new TypeReference<List<ListedMachine>>() {});
+      return Json.MAPPER.readValue(body, new TypeReference<List<ListedInstance>>() {});
     } catch (IOException e) {
       throw new PlatformException("unreadable instance list", e);
     }
--- a/core/src/main/java/org/magnoliaswitch/core/platform/InstanceList.java
+++ b/core/src/main/java/org/magnoliaswitch/core/platform/InstanceList.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 
-/** The platform's list of running and leaving machines. It may lag behind the actual state. */
+/** The platform's list of running and leaving instances. It may lag behind the actual state. */
 public interface InstanceList {
   /** An entry instance or a backend server in the list. */
-  record ListedMachine(String id, boolean leaving) {}
+  record ListedInstance(String id, boolean leaving) {}
 
   /** Reads the current list. */
-  List<ListedMachine> list() throws PlatformException;
+  List<ListedInstance> list() throws PlatformException;
 }
--- a/core/src/main/java/org/magnoliaswitch/core/process/ClaimBatcher.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ClaimBatcher.java
@@ -22,11 +22,11 @@
 /**
  * Combines claims of keys into table transactions.
  *
- * <p>A claim inserts a row that must not exist yet. It never passes to another holder because time
- * has elapsed: its holder may be paused and still send the request. If the answer to a transaction
- * is lost, the rows are read; a claim without a row counts as unavailable. Should the write be
- * applied later, the row still names the same holder, which may then execute the key on the
- * caller's next attempt.
+ * <p>A claim inserts a row, or replaces the exact version given. Until its retention ends, it does
+ * not pass to another holder merely because time has passed: its holder may be paused and still
+ * send the request. If the answer to a transaction is lost, the rows are read; a claim without a
+ * row counts as unavailable. Should the write be applied later, the row still names the same
+ * holder, which may then execute the key on the caller's next attempt.
  */
 public final class ClaimBatcher {
   /** Maximum number of claims per transaction. */
--- a/core/src/main/java/org/magnoliaswitch/core/process/ControlPlane.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ControlPlane.java
@@ -157,7 +157,10 @@
     gossip.exchangeWithPeers(LEAVE_EXCHANGES);
   }
 
-  /** Writes the final outcome record; must be called after the last request has finished. */
+  /**
+   * Writes the final segment of the outcome records; must be called after the last request has
+   * finished.
+   */
   public void writeFinalRecord() {
     try {
       records.close(ledger);
@@ -203,12 +206,12 @@
     }
   }
 
-  private void mergeInstanceList(List<InstanceList.ListedMachine> listed) {
+  private void mergeInstanceList(List<InstanceList.ListedInstance> listed) {
     LeavingServers leaving = state.leaving();
     Set<String> leavingNow =
         listed.stream()
-            .filter(InstanceList.ListedMachine::leaving)
-            .map(InstanceList.ListedMachine::id)
+            .filter(InstanceList.ListedInstance::leaving)
+            .map(InstanceList.ListedInstance::id)
             .collect(Collectors.toSet());
     boolean changed = false;
     for (String id : leavingNow) {
--- a/core/src/main/java/org/magnoliaswitch/core/process/CrashWatch.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/CrashWatch.java
@@ -21,13 +21,18 @@
 public final class CrashWatch {
   /** Source of reports. */
   public enum Source {
-    /** Observed by this instance. */
+    /** Created by this instance from its own requests. */
     OWN,
-    /** Received from an instance that subscribes to this one. */
+    /**
+     * Received by the front from an instance that subscribes to this one; not used by the entry.
+     */
     LISTENER,
-    /** Received from an instance to which this one subscribes. */
+    /**
+     * Received by the front from an instance to which this one subscribes, or by the entry from a
+     * peer through gossip.
+     */
     PEER,
-    /** Read from the store. */
+    /** Read by the front from the store; not used by the entry. */
     STORE
   }
 
--- a/core/src/main/java/org/magnoliaswitch/core/process/EjectionPolicy.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/EjectionPolicy.java
@@ -8,8 +8,9 @@
  * Decides when a failing server is ejected; without side effects.
  *
  * <p>A server that rejects every request looks idle and would attract most of the traffic. The
- * maximum share prevents the ejection of all servers when all of them fail. After the ejection the
- * server is on trial: its earlier failures are discarded, and the next few samples decide.
+ * policy limits the share of servers that is ejected at once, so that not all are ejected when all
+ * of them fail, but always allows one ejected server. Failure counts are reset at the ejection, so
+ * that after it the next few samples decide.
  */
 public final class EjectionPolicy {
   private static final double FAILURE_SHARE_THRESHOLD = 0.5;
--- a/core/src/main/java/org/magnoliaswitch/core/process/GossipSettings.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/GossipSettings.java
@@ -5,7 +5,7 @@
  * instances.
  *
  * @param intervalMillis time between two exchanges begun by this instance
- * @param sampleSize number of members per message
+ * @param sampleSize number of members per message in addition to the sender
  * @param pushFanout number of peers to which an update is pushed at once
  * @param storePollMillis time between reads of the head row by all instances together
  */
--- a/core/src/main/java/org/magnoliaswitch/core/process/LeavingServers.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/LeavingServers.java
@@ -20,6 +20,7 @@
 public final class LeavingServers {
   /**
    * Longer than the time between two notices from a source about a server that continues to leave.
+   * A notice of an operator expires after this time, too, unless the operator repeats it.
    */
   private static final long NOTICE_LIFETIME_MILLIS = 30_000;
 
--- a/core/src/main/java/org/magnoliaswitch/core/process/Membership.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Membership.java
@@ -112,7 +112,7 @@
     return livePeers().size() + (leaving ? 0 : 1);
   }
 
-  /** Returns the member of an incarnation if it has not timed out. */
+  /** Returns the member of an incarnation, also one that is leaving, if it has not timed out. */
   public Optional<Member> live(String incarnation) {
     Entry entry = entries.get(incarnation);
     if (entry == null || clocks.nanos() - entry.receivedNanos() >= timeoutNanos()) {
--- a/core/src/main/java/org/magnoliaswitch/core/process/OutcomeLedger.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/OutcomeLedger.java
@@ -15,8 +15,8 @@
  * In-memory ledger of the keys that this incarnation has started to execute.
  *
  * <p>A key moves from running to one of three outcomes. Only {@link KeyOutcome.NotExecuted} leads
- * back to running, so a rejected or expired request does not use up its key, and a request that may
- * have reached a server is never sent again.
+ * back to running, so a rejected or expired request does not use up its key, and a request that a
+ * server may have executed is never sent again.
  */
 public final class OutcomeLedger {
   /** Decision on a request under a key. */
--- a/core/src/main/java/org/magnoliaswitch/core/process/Platform.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/Platform.java
@@ -9,6 +9,6 @@
  *
  * @param table transactional table
  * @param objects object store
- * @param instances list of machines, which may lag
+ * @param instances list of instances, which may lag
  */
 public record Platform(PlatformTable table, ObjectStore objects, InstanceList instances) {}
--- a/core/src/main/java/org/magnoliaswitch/core/process/RequestCrashes.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/RequestCrashes.java
@@ -55,7 +55,8 @@
    * Creates the state of a request.
    *
    * @param trialDelayNanos how long a suspect request waits for reports of other instances' trials
-   *     before its own trial; 0 where requests cannot wait
+   *     before its own trial; 0 where a waiting request would block its thread, so that a trial
+   *     starts without waiting for these reports
    * @param identify computes the identities; called only if they are needed
    */
   public RequestCrashes(
@@ -92,7 +93,8 @@
   /**
    * Returns whether there was enough time to receive reports of trials that began elsewhere. A
    * caller that retries at once reaches the next instance before the report of its previous trial
-   * does, and each instance would risk a server of its own.
+   * does, and each instance would risk a server of its own. With a delay of 0 trials start without
+   * waiting for the reports.
    */
   private boolean trialDelayElapsed() {
     long now = clocks.nanos();
@@ -178,7 +180,10 @@
     }
   }
 
-  /** Returns whether a further attempt may follow one that broke or returned a failure. */
+  /**
+   * Returns whether a further attempt may follow one that was not sent, whose connection broke or
+   * that returned a failure.
+   */
   public boolean mayRetry() {
     return suspectedCrashes() < CRASHES_WITHOUT_RETRY;
   }
--- a/core/src/main/java/org/magnoliaswitch/core/process/ServerLoad.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ServerLoad.java
@@ -30,9 +30,10 @@
   /**
    * Averages of recent own exchanges.
    *
-   * @param latencyMillis moving average of the latency of complete answers
+   * @param latencyMillis moving average of the latency, including the elapsed time of slow
+   *     incomplete attempts
    * @param failureShare moving average of failures, including rejections, from 0 to 1
-   * @param samples number of exchanges
+   * @param samples number of completed or failed attempts since the last ejection
    */
   public record Averages(double latencyMillis, double failureShare, long samples) {}
 
@@ -78,12 +79,12 @@
                 before.samples() + 1));
   }
 
-  /** Records the end of a request that was abandoned through no fault of the server. */
+  /** Ends a request without counting success or failure. */
   public void recordAbandoned() {
     inFlight.decrementAndGet();
   }
 
-  /** Records, before a request has ended, that it takes longer than the average. */
+  /** Records the elapsed time of an incomplete request if it is above the average latency. */
   public void recordSlow(long elapsedNanos) {
     double elapsedMillis = elapsedNanos / NANOS_PER_MILLI;
     averages.updateAndGet(
--- a/core/src/main/java/org/magnoliaswitch/core/process/ServiceAdmission.java
+++ b/core/src/main/java/org/magnoliaswitch/core/process/ServiceAdmission.java
@@ -18,8 +18,8 @@
  * and multiplicative decrease, so that the instances share the servers' slots without communication
  * (Chiu and Jain, 1989). Requests beyond it wait, each kind in a queue of its own; freed capacity
  * goes to the kinds in proportion to their harm weights (stride scheduling, Waldspurger 1995), so
- * that none starves. A request whose expected wait exceeds the time left until its deadline is
- * rejected at once instead of being queued.
+ * that none starves. A request whose expected wait exceeds the time left until its deadline, or the
+ * maximum wait, is rejected at once instead of being queued.
  */
 public final class ServiceAdmission {
   /** Maximum wait; keeps the queue short enough to drain within a second after an overload. */
@@ -38,7 +38,7 @@
   /** Result of a request for capacity. */
   public enum Verdict {
     ADMITTED,
-    /** The wait would have exceeded the deadline, or did. */
+    /** The wait would have exceeded the deadline or the maximum wait, or did. */
     TOO_LATE,
     /** The queue was full. */
     FULL
@@ -91,7 +91,10 @@
     }
   }
 
-  /** Sets the largest useful window: all slots of all servers, each with its target load. */
+  /**
+   * Sets the largest useful window: all slots of this instance's share of the servers, each with
+   * its target load.
+   */
   public void limitWindow(double maximum) {
     maxWindow.set(Math.max(MIN_WINDOW, maximum));
   }
@@ -257,8 +260,8 @@
   }
 
   /**
-   * Advances the pass of a queue that was empty, so that it gains no claim to capacity for that
-   * time.
+   * Advances the pass of a queue that was empty, so that the time it was empty gives it no extra
+   * share.
    */
   private void advancePass(KindQueue queue) {
     double least = Double.MAX_VALUE;
--- a/core/src/main/java/org/magnoliaswitch/core/request/AttemptRunner.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/AttemptRunner.java
@@ -42,10 +42,11 @@
   private static final long UNLIMITED_IDLE_NANOS = Long.MAX_VALUE;
 
   /**
-   * Declared servers keep their id over a restart, so an answer does not show that a process which
-   * was presumed to have crashed is still running.
+   * The incarnation that answered is unknown; the empty name matches no server. Declared servers
+   * keep their id over a restart, so an answer does not show that a process which was presumed to
+   * have crashed is still running.
    */
-  private static final String ANY_INCARNATION = "";
+  private static final String UNKNOWN_INCARNATION = "";
 
   private final Clocks clocks;
   private final Timeline timeline;
@@ -116,6 +117,7 @@
             request.idempotent() ? UNLIMITED_IDLE_NANOS : FRESH_CONNECTION_NANOS,
             CONNECT_TIMEOUT_MILLIS);
         Verdict verdict = crashes.admit();
+        // WAIT is rejected, too: waiting would block the thread and hold the connection.
         if (verdict == Verdict.REFUSED || verdict == Verdict.WAIT) {
           exchange.fail();
           return new AttemptResult.NotSent(Dispatcher.CRASHES_SERVERS);
@@ -200,7 +202,7 @@
       switch (result) {
         case AttemptResult.Answered answered -> {
           server.load().recordSuccess(now - started, now);
-          crashes.recordAnswer(ANY_INCARNATION, started);
+          crashes.recordAnswer(UNKNOWN_INCARNATION, started);
           request.service().counters().latency().add(now - started);
         }
         case AttemptResult.Refused refused -> {
@@ -238,6 +240,8 @@
 
     /**
      * Checks whether the server's process has exited: a running process accepts a new connection.
+     * The crash is recorded under the server's id, which survives a restart, so that repeated
+     * crashes of one declared server during a request count once.
      */
     private void checkCrashed() {
       crashes.mayHaveCrashed(server.id());
@@ -250,8 +254,8 @@
     }
 
     /**
-     * Records an exchange without a response. Idle connections without an answer since it began may
-     * be silent too and are not reused.
+     * Records an exchange that timed out, and stops the reuse of idle connections without a
+     * response since it began, which may be silent too.
      */
     private void recordSilence(long started) {
       server.pool().distrustIdleSince(started);
--- a/core/src/main/java/org/magnoliaswitch/core/request/Dispatcher.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/Dispatcher.java
@@ -35,8 +35,8 @@
  */
 public final class Dispatcher {
   /**
-   * No wait for reports of trials on other instances: a request that waits would block its thread,
-   * and a request that is rejected instead would never get its trial.
+   * Trials start without waiting for reports of trials on other instances: a request that waits
+   * would block its thread, and a request that is rejected instead would never get its trial.
    */
   private static final long TRIAL_PROPAGATION_NANOS = 0;
 
@@ -83,6 +83,7 @@
   public Reply dispatch(InboundRequest request) {
     RequestCrashes crashes = crashes(request);
     Verdict crashVerdict = crashes.verdict();
+    // WAIT is rejected, too: unlike in the front, a waiting request would block its thread.
     if (crashVerdict == Verdict.REFUSED || crashVerdict == Verdict.WAIT) {
       return reject(request, crashes);
     }
@@ -122,10 +123,7 @@
         () -> RequestCrashes.Identities.of(request.identity(), request.caller()));
   }
 
-  /**
-   * Rejects the request at once, since waiting would not help; nothing of this caller's attempt has
-   * been sent.
-   */
+  /** Rejects the request; nothing has been sent. */
   private Reply reject(InboundRequest request, RequestCrashes crashes) {
     String service = request.service().service().name();
     timeline.record(EventKind.REQUEST_SHED, request.id(), service, "", "verdict=ENDS_SERVERS");
--- a/core/src/main/java/org/magnoliaswitch/core/request/Exchange.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/Exchange.java
@@ -34,8 +34,8 @@
  */
 public final class Exchange {
   /**
-   * Size of a body in bytes up to which a request is buffered and from which on a response is
-   * forwarded as a stream.
+   * Size in bytes. Bodies of idempotent requests up to this size are buffered; responses of this
+   * size or larger are streamed.
    */
   public static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
--- a/core/src/main/java/org/magnoliaswitch/core/request/InboundRequest.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/InboundRequest.java
@@ -75,13 +75,14 @@
   public RequestIdentity identity() {
     return switch (body) {
       case Body.Buffered buffered ->
-          RequestIdentity.ofContent(method, host(), target, buffered.content());
+          RequestIdentity.ofContent(method, serviceName(), target, buffered.content());
       case Body.Streaming streaming ->
-          RequestIdentity.ofContent(method, host(), target + ' ' + streaming.length(), new byte[0]);
+          RequestIdentity.ofContent(
+              method, serviceName(), target + ' ' + streaming.length(), new byte[0]);
     };
   }
 
-  private String host() {
+  private String serviceName() {
     return service.service().name();
   }
 
--- a/core/src/main/java/org/magnoliaswitch/core/request/Outcome.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/Outcome.java
@@ -2,7 +2,10 @@
 
 /** What became of a request, as reported to its caller. */
 public enum Outcome {
-  /** A backend server executed the request, and the reply is its complete answer. */
+  /**
+   * A backend server executed the request. The reply is its answer; a repetition of the request
+   * gets an error status instead if the answer was too large to keep.
+   */
   EXECUTED("executed"),
   /**
    * No backend server executed the request, and none will for this key unless the request is sent
--- a/core/src/main/java/org/magnoliaswitch/core/request/ServerChooser.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/ServerChooser.java
@@ -15,10 +15,13 @@
  *
  * <p>The fresh-load policy compares a few random servers, which prevents instances with the same
  * outdated reports from sending to the same server (Mitzenmacher, "How useful is old information?",
- * 2000). A server is scored by its expected latency: its average latency, multiplied by the number
- * of waves of requests ahead. The number of requests ahead is the last reported one, weighted by
- * its age against the average of the sampled servers, plus the requests that this instance has sent
- * since (after Wydrowski et al., "Load is not what you should balance", 2024).
+ * 2000). The server with the lowest score is chosen. The score is {@code (latency * (1 + waves) /
+ * success + remote) * ramp}: the average latency, multiplied by one plus the number of waves of
+ * requests ahead and divided by the share of successful requests; plus a penalty for a server in
+ * another data centre; multiplied by a factor above one while the server is new to this instance.
+ * The number of requests ahead is the last reported one, weighted by its age against the average of
+ * the sampled servers, plus the requests that this instance has sent since (after Wydrowski et al.,
+ * "Load is not what you should balance", 2024).
  */
 public final class ServerChooser {
   /** Latency assumed while no sampled server has latency samples. */
--- a/core/src/main/java/org/magnoliaswitch/core/version/Execution.java
+++ b/core/src/main/java/org/magnoliaswitch/core/version/Execution.java
@@ -5,7 +5,8 @@
   /** Several executions have the same effect as a single one: retries and hedges are allowed. */
   IDEMPOTENT,
   /**
-   * At most one execution per idempotency key: no further attempt once a byte may have been sent.
+   * At most one execution per idempotency key: no further attempt once a byte may have been sent,
+   * unless the server answered with a refusal status.
    */
   AT_MOST_ONCE
 }
--- a/core/src/test/java/org/magnoliaswitch/core/crash/CrashTableTest.java
+++ b/core/src/test/java/org/magnoliaswitch/core/crash/CrashTableTest.java
@@ -81,7 +81,7 @@
       assertEquals(table.verdict(REQUEST, 0), Verdict.TRIAL);
     }
 
-    /** The server of the trial answers, which clears everything held against the request. */
+    /** The server of the trial answers, which clears everything counted against the request. */
     @Test
     public void anAnswerClears() {
       CrashTable cleared = after(crashed("a"), crashed("b"), trialStarted(1), cleared("a", "b"));
@@ -314,7 +314,7 @@
   public static final class PresumedCrashes {
     /**
      * A server whose connections were reset and that refused one for a moment answers again. It did
-     * not crash, and the presumed crash is removed from every request it was held against.
+     * not crash, and the presumed crash is removed from every request it was counted against.
      */
     @Test
     public void aServerThatAnswersHasNotCrashed() {
--- a/entry/src/main/java/org/magnoliaswitch/entry/EntrySettings.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/EntrySettings.java
@@ -14,7 +14,7 @@
  *
  * @param instance name of this instance
  * @param dataCentre data centre that the instance runs in
- * @param host IP_PATTERN parseAddress that the three listeners bind to
+ * @param host IP address that the three listeners bind to
  * @param callerPort port of the listener for callers
  * @param operatorPort port of the listener for operators
  * @param peerPort port of the listener for peers
@@ -25,7 +25,7 @@
  * @param secretFile file with the secret that all instances share
  * @param callersBalancerResends whether the load balancer between callers and entries may resend a
  *     request on its own
- * @param stopUnreadyMillis time between failing the readiness validate and closing the listener for
+ * @param stopUnreadyMillis time between failing the readiness check and closing the listener for
  *     callers during a graceful stop
  * @param stopLimitMillis maximum time that a graceful stop waits for requests in flight
  * @param tls TLS settings of the listener for callers, or absent for plain HTTP
--- a/entry/src/main/java/org/magnoliaswitch/entry/GracefulStop.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/GracefulStop.java
@@ -6,12 +6,12 @@
 import org.magnoliaswitch.core.process.ControlPlane;
 
 /**
- * Stops an entry without aborting requests in flight.
+ * Stops an instance without aborting requests in flight.
  *
- * <p>The entry first fails its readiness check, announces to its peers that it is leaving, and
+ * <p>The instance first fails its readiness check, announces to its peers that it is leaving, and
  * keeps serving until the load balancer has had time to notice. Responses sent during that time ask
- * the caller to close its connection. Then the entry stops accepting connections, waits for the
- * requests in flight and writes its last outcome record.
+ * the caller to close its connection. Then the instance stops accepting connections, waits for the
+ * requests in flight and writes the final segment of its outcome records.
  */
 final class GracefulStop {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
--- a/entry/src/main/java/org/magnoliaswitch/entry/OperatorResource.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/OperatorResource.java
@@ -80,8 +80,10 @@
   }
 
   /**
-   * Stops new requests to a server at once, at this instance and all its peers. This also works
-   * while the store is unavailable.
+   * Stops new requests to a server: at this instance at once, at its peers when the notice reaches
+   * them by gossip. This also works while the store is unavailable. The notice expires after its
+   * lifetime, see {@link org.magnoliaswitch.core.process.LeavingServers}, unless the operator
+   * repeats it.
    */
   @POST
   @Path("servers/{id}/leaving")
--- a/entry/src/main/java/org/magnoliaswitch/entry/RequestReader.java
+++ b/entry/src/main/java/org/magnoliaswitch/entry/RequestReader.java
@@ -131,9 +131,9 @@
   }
 
   /**
-   * Reads and discards the body of a rejected request. If the response were sent while the caller
-   * is still sending, the connection would be reset and the response lost, and the caller would not
-   * know that nothing was executed.
+   * Reads and discards the body of a request that is rejected as too large. If the response were
+   * sent while the caller is still sending, the connection would be reset and the response lost,
+   * and the caller would not know that nothing was executed.
    */
   private static void discard(Request request) throws IOException {
     if (request.getLength() <= MAX_DISCARDED_BYTES) {
--- a/operator/src/main/java/org/magnoliaswitch/operator/EntryClient.java
+++ b/operator/src/main/java/org/magnoliaswitch/operator/EntryClient.java
@@ -88,7 +88,7 @@
     return parse(execute(post), new TypeReference<>() {});
   }
 
-  /** Stops new requests to a server at once, at the instance and its peers. */
+  /** Stops new requests to a server, at the instance at once and at its peers through gossip. */
   public void markLeaving(String server) throws IOException {
     byte[] unused = execute(new HttpPost(base.resolve("/servers/" + server + "/leaving")));
   }
--- a/standins/src/main/java/org/magnoliaswitch/standins/PlatformStandin.java
+++ b/standins/src/main/java/org/magnoliaswitch/standins/PlatformStandin.java
@@ -41,7 +41,7 @@
   /** The numbers of calls and writes, written as JSON for experiments. */
   record Counts(long transactions, long rowWrites, long objectWrites, long reads) {}
 
-  private record ListVersion(List<InstanceList.ListedMachine> list, long sinceMillis) {}
+  private record ListVersion(List<InstanceList.ListedInstance> list, long sinceMillis) {}
 
   private final Server server;
   private final ServerConnector connector;
@@ -212,7 +212,7 @@
         BackendFleet.reply(response, callback, OK, "set\n");
       }
       case "/standin/instances" -> {
-        List<InstanceList.ListedMachine> list =
+        List<InstanceList.ListedInstance> list =
             Json.MAPPER.readValue(readBody(request), new TypeReference<>() {});
         lists.addLast(new ListVersion(list, clocks.millis()));
         BackendFleet.reply(response, callback, OK, "set\n");
@@ -221,9 +221,9 @@
     }
   }
 
-  private List<InstanceList.ListedMachine> laggedList() {
+  private List<InstanceList.ListedInstance> laggedList() {
     long visibleMillis = clocks.millis() - faults.listLagMillis();
-    List<InstanceList.ListedMachine> latest = List.of();
+    List<InstanceList.ListedInstance> latest = List.of();
     for (ListVersion list : lists) {
       if (list.sinceMillis() <= visibleMillis) {
         latest = list.list();
