--- a/core/src/main/java/org/magnoliaswitch/core/request/AtMostOnceExecutor.java
+++ b/core/src/main/java/org/magnoliaswitch/core/request/AtMostOnceExecutor.java
@@ -289,7 +289,7 @@
       if (claim.isPresent() && attemptNumber(keyed.request()) <= refused.attempt()) {
         return replay(refused);
       }
-      // Without the record of a graceful stop, the holder may have executed the key after this
+      // Without the final segment, the holder may have executed the key after this
       // record.
       return complete
           ? takeOverUnexecuted(keyed, claim)
