--- a/front/src/test/java/org/magnoliaswitch/front/request/PausedServerTest.java
+++ b/front/src/test/java/org/magnoliaswitch/front/request/PausedServerTest.java
@@ -9,7 +9,6 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import java.util.function.Function;
 import org.magnoliaswitch.front.connection.CallerResponse;
 import org.magnoliaswitch.front.load.ServerNotice;
 import org.magnoliaswitch.front.load.ServerState;
@@ -95,10 +94,8 @@
           .set(
               new RouteTable(
                   2, List.of(NON_IDEMPOTENT_ROUTE), List.of(policy), CallerLimits.DEFAULT));
-      CompletableFuture<CallerResponse> response =
-          CompletableFuture.supplyAsync(
-                  () -> sendAndPause(environment), environment.loop()::execute)
-              .thenCompose(Function.identity());
+      CompletableFuture<CallerResponse> response = new CompletableFuture<>();
+      environment.loop().execute(() -> sendAndPause(environment, response));
       assertEquals(response.join().status().code(), 503);
       assertEquals(healthChecks.get(), 0);
       environment.loop().stop();
@@ -106,10 +103,10 @@
   }
 
   /** Queues both in one task, so that the connection is not yet open when the pause begins. */
-  private static CompletableFuture<CallerResponse> sendAndPause(Environment environment) {
-    CompletableFuture<CallerResponse> response = Requests.send(environment);
+  private static void sendAndPause(
+      Environment environment, CompletableFuture<CallerResponse> response) {
+    var unused = Requests.send(environment).thenAccept(response::complete);
     environment.loop().execute(() -> pause(environment));
-    return response;
   }
 
   private static void pause(Environment environment) {
