--- a/bench/src/main/java/org/magnoliaswitch/bench/model/LoadModelMain.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/LoadModelMain.java
@@ -21,7 +21,7 @@
  * decisions of the front.
  */
 public final class LoadModelMain {
-  private static final int USAGE = 2;
+  private static final int USAGE_ERROR = 2;
 
   private LoadModelMain() {}
 
@@ -72,7 +72,7 @@
           options.valueOf(seeds));
     } catch (OptionException | IllegalArgumentException e) {
       System.err.println("magnolia-load-model: " + e.getMessage() + "; see --help");
-      System.exit(USAGE);
+      System.exit(USAGE_ERROR);
     }
   }
 
