--- a/bench/src/test/java/org/magnoliaswitch/bench/report/VersionCheckTest.java
+++ b/bench/src/test/java/org/magnoliaswitch/bench/report/VersionCheckTest.java
@@ -17,7 +17,7 @@
   private final List<TimelineEvent> events = new ArrayList<>();
 
   @Test
-  public void detectsAnInstanceThatRevertsToALowerVersion() {
+  public void reportsAnInstanceThatRevertsToALowerVersion() {
     events.clear();
     addEvent(1, "a", EventKind.VERSION_IN_FORCE, "version=2 change=x");
     addEvent(2, "a", EventKind.VERSION_IN_FORCE, "version=1 change=y");
