--- a/bench/src/main/java/org/magnoliaswitch/bench/model/FrontExchange.java
+++ b/bench/src/main/java/org/magnoliaswitch/bench/model/FrontExchange.java
@@ -254,7 +254,7 @@
             boolean stillWanted = !done && current == searchNumber;
             if (stillWanted
                 && step instanceof ServerSelection.Step.Send found
-                && mayRetry(CallerRetry.NONE)) {
+                && tryRetry(CallerRetry.NONE)) {
               send(found.server());
             }
           });
@@ -265,7 +265,7 @@
     return attempts < request.kind().route().maxServers();
   }
 
-  private boolean mayRetry(CallerRetry callerRetry) {
+  private boolean tryRetry(CallerRetry callerRetry) {
     return mayAttempt() && node.trySpendRetry(service(), callerRetry);
   }
 
@@ -292,7 +292,7 @@
     if (done || !openAttempts.isEmpty()) {
       return;
     }
-    if (mayRetry(callerRetry())) {
+    if (tryRetry(callerRetry())) {
       place();
     } else {
       reject(RetryAfter.Cause.REJECTED);
