--- a/bin/lib/instance-of-two-builds.sh
+++ b/bin/lib/instance-of-two-builds.sh
@@ -4,9 +4,13 @@
 set -eu
 home=$(cd "$(dirname "$0")/../.." && pwd)
 . "$home/bin/java-home.sh"
-number=${MAGNOLIASWITCH_CONFIG//[!0-9]/ }
-number=${number% }
-number=${number##* }
-if [ $((number % 2)) -eq 0 ]; then home=$OTHER_HOME; fi
+file=${MAGNOLIASWITCH_CONFIG##*/}
+number=${file//[!0-9]/}
+build=this
+if [ $((number % 2)) -eq 0 ]; then
+  home=$OTHER_HOME
+  build=other
+fi
+echo "build=$build"
 exec "$JAVA_HOME/bin/java" -Xmx64m -Xss256k -XX:+UseSerialGC -XX:TieredStopAtLevel=1 \
   -jar "$home/platform/target/platform.jar"
